--- a/packages/control/include/plumfold/control/plumfold_durable_log.hpp
+++ b/packages/control/include/plumfold/control/plumfold_durable_log.hpp
@@ -38,7 +38,7 @@
     absl::Status found(const std::vector<std::string>& founders);
 
     /// Writes the persistent part of a node's work and syncs it.
-    absl::Status persist(const core::raft_work& work);
+    absl::Status persist(const core::raft_output& work);
 
     /// Replaces the log up to the snapshot's index.
     /// @param hard the present hard state.
--- a/packages/control/src/plumfold_control_node.cpp
+++ b/packages/control/src/plumfold_control_node.cpp
@@ -83,7 +83,7 @@
 bool control_node::doWork()
 {
     while (true) {
-        core::raft_work work = m_raft.takeWork();
+        core::raft_output work = m_raft.takeOutput();
         if (work.empty())
             return true;
         if (work.needsSync()) {
@@ -139,7 +139,7 @@
 
 void control_node::tellView()
 {
-    bool fresh = m_raft.isCurrent(runtime::now());
+    bool fresh = m_raft.isCaughtUp(runtime::now());
     bool leads = m_raft.role() == core::raft_role::leader;
     std::string leader = m_raft.leaderAddress();
     bool sameDeployment = m_view.deployment && m_view.deployment->revision == m_state.deployment().revision;
@@ -173,7 +173,7 @@
 
 void control_node::handle(hand_over_event&)
 {
-    m_raft.handOver(runtime::now());
+    m_raft.transferLeadership(runtime::now());
 }
 
 void control_node::handle(peer_message_event& event)
@@ -220,7 +220,7 @@
         answer.update.deltas = std::move(*deltas);
     else
         answer.update.full = config.records();
-    answer.fresh = m_raft.isCurrent(runtime::now());
+    answer.fresh = m_raft.isCaughtUp(runtime::now());
     answer.verdicts = m_state.verdicts();
     return answer;
 }
@@ -254,7 +254,7 @@
 
 void control_node::handle(form_event& event)
 {
-    if (m_raft.form(runtime::now()))
+    if (m_raft.bootstrap(runtime::now()))
         event.answer->done(propose_answer { true, m_options.address, {}, {}, 0 });
     else
         event.answer->done(refusal("this control VM already belongs to a group: nothing needs to be formed"));
--- a/packages/control/src/plumfold_control_service.cpp
+++ b/packages/control/src/plumfold_control_service.cpp
@@ -101,7 +101,7 @@
     kj::Promise<void> submit(SubmitContext call) override
     {
         propose_event event { wire::read(call.getParams().getCommand()), {} };
-        KJ_REQUIRE(!std::holds_alternative<core::change_command>(event.what.what),
+        KJ_REQUIRE(!std::holds_alternative<core::change_command>(event.what.payload),
             "entries may not change the configuration");
         return ask<propose_answer>(m_context.node, std::move(event))
             .then([call](propose_answer answer) mutable {
--- a/packages/control/src/plumfold_durable_log.cpp
+++ b/packages/control/src/plumfold_durable_log.cpp
@@ -302,7 +302,7 @@
     return synced ? absl::OkStatus() : failure("sync", "");
 }
 
-absl::Status durable_log::persist(const core::raft_work& work)
+absl::Status durable_log::persist(const core::raft_output& work)
 {
     if (work.install) {
         core::hard_state hard = work.hard.value_or(m_hard);
--- a/packages/core/include/plumfold/core/plumfold_commands.hpp
+++ b/packages/core/include/plumfold/core/plumfold_commands.hpp
@@ -20,12 +20,12 @@
 };
 
 /// The answer of a request that runs at most once, kept for resends.
-struct stored_answer {
+struct stored_response {
     std::uint16_t status = 0; ///< HTTP status.
     std::string contentType;
     std::string body;
     bool truncated = false; ///< The body was too large to keep; it was delivered once.
-    bool operator==(const stored_answer&) const = default;
+    bool operator==(const stored_response&) const = default;
 };
 
 /// How the work behind a claim ended.
@@ -36,7 +36,7 @@
 };
 
 /// What a caller of claim() is told.
-enum class claim_answer : std::uint8_t {
+enum class claim_status : std::uint8_t {
     granted, ///< Only the holder that is told this may dispatch the request, once.
     in_progress,
     completed, ///< The stored answer is attached.
@@ -48,7 +48,7 @@
     std::string operatorName;
     std::string requestId;
     std::uint64_t expectedRevision = 0;
-    change what;
+    change requestedChange;
 };
 struct claim_command {
     claim_key key;
@@ -60,7 +60,7 @@
     claim_key key;
     std::string holder;
     claim_outcome outcome = claim_outcome::not_run;
-    stored_answer answer;
+    stored_response response;
 };
 /// Usage of one customer and model, summed over requests.
 struct usage_row {
@@ -110,7 +110,7 @@
     unix_milliseconds at = 0;
     std::variant<barrier_command, change_command, claim_command, finish_claim_command, usage_command,
         verdict_command, lease_command, adopt_document_command, set_in_service_command, name_weights_command>
-        what;
+        payload;
 };
 
 enum class change_outcome : std::uint8_t { accepted, conflict, invalid };
@@ -123,8 +123,8 @@
 };
 
 struct claim_result {
-    claim_answer state = claim_answer::in_progress;
-    stored_answer answer;
+    claim_status state = claim_status::in_progress;
+    stored_response response;
     std::uint32_t retryAfterMs = 0;
     bool operator==(const claim_result&) const = default;
 };
--- a/packages/core/include/plumfold/core/plumfold_configuration.hpp
+++ b/packages/core/include/plumfold/core/plumfold_configuration.hpp
@@ -22,11 +22,11 @@
 
     /// Checks what the configuration would be after a change.
     /// @return OK, or invalid_argument whose message names the remedy.
-    absl::Status check(const change& what) const;
+    absl::Status check(const change& requested) const;
 
     /// Applies an accepted change as the next revision.
-    /// @pre check(what) is OK.
-    delta apply(const change& what);
+    /// @pre check(requested) is OK.
+    delta apply(const change& requested);
 
     /// Applies the delta that follows the present revision.
     /// @return false when the delta does not follow; nothing was changed then.
@@ -49,13 +49,13 @@
     template <class T> const T* find(record_kind kind, const std::string& name) const;
     void put(const record& value);
     void remove(const record_key& key);
-    std::optional<record_key> dependentOf(const record_key& key) const;
+    std::optional<record_key> findDependent(const record_key& key) const;
 
     std::uint64_t m_revision = 0;
     std::uint64_t m_digest = 0; // sum of the records' own digests, so a change costs one record
     std::map<record_key, record> m_records;
     std::map<std::string, std::string> m_customerByKeyHash;
-    std::size_t m_targetRecords = 0; // most installations have none, and routing asks for each target
+    std::size_t m_targetRecordCount = 0; // most installations have none, and routing asks for each target
 };
 
 } // namespace plumfold::core
--- a/packages/core/include/plumfold/core/plumfold_control_state.hpp
+++ b/packages/core/include/plumfold/core/plumfold_control_state.hpp
@@ -13,14 +13,14 @@
     claim_key key;
     std::uint64_t fingerprint = 0;
     std::string holder;
-    claim_answer state = claim_answer::in_progress; ///< in_progress, completed or unknown.
+    claim_status state = claim_status::in_progress; ///< in_progress, completed or unknown.
     unix_milliseconds runUntil = 0;
     unix_milliseconds keepUntil = 0;
-    stored_answer answer;
+    stored_response response;
     bool operator==(const claim_state&) const = default;
 };
 
-struct remembered_result {
+struct stored_change_result {
     std::string operatorName;
     std::string requestId;
     change_result result;
@@ -30,7 +30,7 @@
     unix_milliseconds at = 0;
     std::string operatorName;
     std::string requestId;
-    delta what;
+    delta appliedDelta;
 };
 
 struct usage_source {
@@ -60,7 +60,7 @@
     std::uint64_t revision = 0;
     std::vector<record> records;
     std::vector<delta> deltas;
-    std::vector<remembered_result> results;
+    std::vector<stored_change_result> results;
     std::vector<claim_state> claims;
     std::vector<usage_row> usage;
     std::vector<usage_source> usageSources;
@@ -91,18 +91,18 @@
     const std::deque<audit_record>& audit() const { return m_audit; }
 
 private:
-    command_result applyOne(const barrier_command&, unix_milliseconds at);
-    command_result applyOne(const change_command& next, unix_milliseconds at);
-    command_result applyOne(const claim_command& next, unix_milliseconds at);
-    command_result applyOne(const finish_claim_command& next, unix_milliseconds at);
-    command_result applyOne(const usage_command& next, unix_milliseconds at);
-    command_result applyOne(const verdict_command& next, unix_milliseconds at);
-    command_result applyOne(const lease_command& next, unix_milliseconds at);
-    command_result applyOne(const adopt_document_command& next, unix_milliseconds at);
-    command_result applyOne(const set_in_service_command& next, unix_milliseconds at);
-    command_result applyOne(const name_weights_command& next, unix_milliseconds at);
+    command_result applyCommand(const barrier_command&, unix_milliseconds at);
+    command_result applyCommand(const change_command& next, unix_milliseconds at);
+    command_result applyCommand(const claim_command& next, unix_milliseconds at);
+    command_result applyCommand(const finish_claim_command& next, unix_milliseconds at);
+    command_result applyCommand(const usage_command& next, unix_milliseconds at);
+    command_result applyCommand(const verdict_command& next, unix_milliseconds at);
+    command_result applyCommand(const lease_command& next, unix_milliseconds at);
+    command_result applyCommand(const adopt_document_command& next, unix_milliseconds at);
+    command_result applyCommand(const set_in_service_command& next, unix_milliseconds at);
+    command_result applyCommand(const name_weights_command& next, unix_milliseconds at);
     void expire(unix_milliseconds at);
-    void remember(const change_command& next, const change_result& result);
+    void storeResult(const change_command& next, const change_result& result);
 
     using request_key = std::pair<std::string, std::string>; // operator, request id
 
--- a/packages/core/include/plumfold/core/plumfold_raft_node.hpp
+++ b/packages/core/include/plumfold/core/plumfold_raft_node.hpp
@@ -23,7 +23,7 @@
 
 /// What the caller must do, in this order: install the snapshot, truncate, append, write the hard state,
 /// sync, call raft_node::persisted(), send the messages, apply the committed entries.
-struct raft_work {
+struct raft_output {
     std::optional<raft_snapshot> install; ///< A snapshot from the leader that replaces state and log.
     std::optional<std::uint64_t> truncateFrom; ///< Drop the persisted entries from this index on.
     std::vector<log_entry> append;
@@ -50,7 +50,7 @@
 
     /// Forms a new group with this node as its only voter. Operators call it once for a new installation.
     /// @return false when this node already belongs to a group.
-    bool form(instant now);
+    bool bootstrap(instant now);
 
     /// Appends a command to the log.
     /// @return the index of its entry, or nothing when this node is not the leader.
@@ -58,10 +58,10 @@
 
     /// Gives leadership to the most advanced voter, for a planned stop.
     /// @return false when there is no other voter or this node does not lead.
-    bool handOver(instant now);
+    bool transferLeadership(instant now);
 
     /// @return the work that has come up since the last call.
-    raft_work takeWork();
+    raft_output takeOutput();
 
     /// Tells that everything in the last work has been synced.
     void persisted(instant now);
@@ -89,20 +89,20 @@
 
     /// @return whether this node leads and a quorum has answered within the election timeout, or follows a
     /// leader that it has heard from within the election timeout.
-    bool isFresh(instant now) const;
+    bool hasActiveLeader(instant now) const;
 
     /// @return whether what this node has applied was all that was committed within the election timeout: it
     /// leads with a quorum, or votes and has just followed an append up to the leader's commit index.
-    bool isCurrent(instant now) const;
+    bool isCaughtUp(instant now) const;
 
     /// @return the term of the entry at an index, or 0 when it is not held.
     std::uint64_t termAt(std::uint64_t index) const;
 
 private:
     struct progress {
-        std::uint64_t match = 0;
-        std::uint64_t next = 1;
-        instant lastAnswer {};
+        std::uint64_t matchIndex = 0;
+        std::uint64_t nextIndex = 1;
+        instant lastResponse {};
         instant lastSent {};
         bool snapshotInFlight = false;
     };
@@ -119,22 +119,22 @@
     void sendAppend(const raft_member& to, instant now);
     void sendSnapshot(const raft_member& to, progress& state, instant now);
     void send(raft_message message);
-    void answerAppend(const raft_message& message, bool accepted, std::uint64_t index);
+    void sendAppendResponse(const raft_message& message, bool accepted, std::uint64_t index);
     void collectCommitted();
     void checkQuorum(instant now);
     void promoteCaughtUpLearner(instant now);
     bool changeMembership(raft_membership next, instant now);
     bool isQuorum(const std::set<node_name>& nodes) const;
-    bool isCandidateLogCurrent(const raft_message& message) const;
-    bool isKnownVoter(const raft_message& message) const;
+    bool isCandidateLogUpToDate(const raft_message& message) const;
+    bool isFromCurrentVoter(const raft_message& message) const;
     bool isVoter() const;
 
     void onPreVote(const raft_message& message, instant now);
-    void onPreVoteAnswer(const raft_message& message, instant now);
+    void onPreVoteResponse(const raft_message& message, instant now);
     void onVote(const raft_message& message, instant now);
-    void onVoteAnswer(const raft_message& message, instant now);
+    void onVoteResponse(const raft_message& message, instant now);
     void onAppend(const raft_message& message, instant now);
-    void onAppendAnswer(const raft_message& message, instant now);
+    void onAppendResponse(const raft_message& message, instant now);
     void onSnapshot(const raft_message& message, instant now);
     void onTimeoutNow(const raft_message& message, instant now);
     void onJoin(const raft_message& message, instant now);
@@ -152,7 +152,7 @@
     raft_role m_role = raft_role::follower;
     node_name m_leader;
     std::uint64_t m_commitIndex = 0;
-    std::uint64_t m_handedOut = 0; // last committed index given to the caller
+    std::uint64_t m_lastDelivered = 0; // last committed index given to the caller
     std::uint64_t m_persistedIndex = 0;
     instant m_electionDeadline {};
     instant m_lastLeaderContact {};
@@ -161,7 +161,7 @@
     instant m_nextJoin {};
     std::set<node_name> m_votes;
     std::map<node_name, progress> m_progress;
-    raft_work m_work;
+    raft_output m_output;
     std::mt19937_64 m_random;
 };
 
--- a/packages/core/include/plumfold/core/plumfold_raft_types.hpp
+++ b/packages/core/include/plumfold/core/plumfold_raft_types.hpp
@@ -64,11 +64,11 @@
 
 enum class message_kind : std::uint8_t {
     pre_vote,
-    pre_vote_answer,
+    pre_vote_response,
     vote,
-    vote_answer,
+    vote_response,
     append,
-    append_answer,
+    append_response,
     snapshot,
     timeout_now,
     join, ///< A node that is not a member under its present incarnation asks to become a learner.
--- a/packages/core/include/plumfold/core/plumfold_records.hpp
+++ b/packages/core/include/plumfold/core/plumfold_records.hpp
@@ -100,7 +100,7 @@
 /// An accepted change and the revision that it created.
 struct delta {
     std::uint64_t revision = 0;
-    change what;
+    change appliedChange;
     bool operator==(const delta&) const = default;
 };
 
--- a/packages/core/src/plumfold_configuration.cpp
+++ b/packages/core/src/plumfold_configuration.cpp
@@ -108,19 +108,19 @@
         put(value);
 }
 
-absl::Status configuration::check(const change& what) const
+absl::Status configuration::check(const change& requested) const
 {
-    if (const auto* key = std::get_if<record_key>(&what)) {
+    if (const auto* key = std::get_if<record_key>(&requested)) {
         if (!m_records.contains(*key))
             return invalid(std::string(recordKindName(key->kind)) + " \"" + key->name
                 + "\" does not exist: list the names with 'plumfold " + recordKindName(key->kind) + " list'");
-        if (auto dependent = dependentOf(*key))
+        if (auto dependent = findDependent(*key))
             return invalid(std::string(recordKindName(dependent->kind)) + " \"" + dependent->name
                 + "\" still uses " + recordKindName(key->kind) + " \"" + key->name
                 + "\": remove or change that first");
         return absl::OkStatus();
     }
-    const auto& value = std::get<record>(what);
+    const auto& value = std::get<record>(requested);
     if (auto status = checkName(keyOf(value).name); !status.ok())
         return status;
     return std::visit(
@@ -177,21 +177,21 @@
         value);
 }
 
-delta configuration::apply(const change& what)
+delta configuration::apply(const change& requested)
 {
-    if (const auto* key = std::get_if<record_key>(&what))
+    if (const auto* key = std::get_if<record_key>(&requested))
         remove(*key);
     else
-        put(std::get<record>(what));
+        put(std::get<record>(requested));
     ++m_revision;
-    return delta { m_revision, what };
+    return delta { m_revision, requested };
 }
 
 bool configuration::applyDelta(const delta& next)
 {
     if (next.revision != m_revision + 1)
         return false;
-    apply(next.what);
+    apply(next.appliedChange);
     return true;
 }
 
@@ -202,7 +202,7 @@
     m_digest += digestOf(value);
     if (const auto* customer = std::get_if<customer_record>(&value))
         m_customerByKeyHash[customer->keyHash] = customer->name;
-    m_targetRecords += key.kind == record_kind::target;
+    m_targetRecordCount += key.kind == record_kind::target;
     m_records.insert_or_assign(std::move(key), value);
 }
 
@@ -214,11 +214,11 @@
     m_digest -= digestOf(found->second);
     if (const auto* customer = std::get_if<customer_record>(&found->second))
         m_customerByKeyHash.erase(customer->keyHash);
-    m_targetRecords -= key.kind == record_kind::target;
+    m_targetRecordCount -= key.kind == record_kind::target;
     m_records.erase(found);
 }
 
-std::optional<record_key> configuration::dependentOf(const record_key& key) const
+std::optional<record_key> configuration::findDependent(const record_key& key) const
 {
     for (const auto& [candidate, value] : m_records) {
         if (const auto* adapter = std::get_if<adapter_record>(&value)) {
@@ -230,8 +230,8 @@
                 return candidate;
         }
         if (const auto* customer = std::get_if<customer_record>(&value)) {
-            bool named = key.kind == record_kind::model || key.kind == record_kind::service;
-            if (named
+            bool listedByCustomers = key.kind == record_kind::model || key.kind == record_kind::service;
+            if (listedByCustomers
                 && std::find(customer->models.begin(), customer->models.end(), key.name)
                     != customer->models.end())
                 return candidate;
@@ -279,7 +279,7 @@
 
 const target_record* configuration::target(const std::string& name) const
 {
-    return m_targetRecords == 0 ? nullptr : find<target_record>(record_kind::target, name);
+    return m_targetRecordCount == 0 ? nullptr : find<target_record>(record_kind::target, name);
 }
 
 const service_record* configuration::service(const std::string& name) const
--- a/packages/core/src/plumfold_control_state.cpp
+++ b/packages/core/src/plumfold_control_state.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::size_t maxKeptDeltas = 4096;
-constexpr std::size_t maxKeptResults = 8192;
-constexpr std::size_t maxKeptAudit = 8192;
-constexpr unix_milliseconds claimKeepMs = 24ull * 3600 * 1000;
-constexpr unix_milliseconds verdictKeepMs = 3600ull * 1000;
+constexpr std::size_t maxRetainedDeltas = 4096;
+constexpr std::size_t maxRetainedResults = 8192;
+constexpr std::size_t maxRetainedAuditRecords = 8192;
+constexpr unix_milliseconds claimRetentionMs = 24ull * 3600 * 1000;
+constexpr unix_milliseconds verdictRetentionMs = 3600ull * 1000;
 constexpr std::uint32_t minRetryAfterMs = 100;
 constexpr std::uint32_t maxRetryAfterMs = 5000;
 
@@ -73,7 +73,7 @@
 command_result control_state::apply(const command& next)
 {
     expire(next.at);
-    return std::visit([&](const auto& one) { return applyOne(one, next.at); }, next.what);
+    return std::visit([&](const auto& payload) { return applyCommand(payload, next.at); }, next.payload);
 }
 
 void control_state::expire(unix_milliseconds at)
@@ -85,12 +85,12 @@
     std::erase_if(m_verdicts, [&](const auto& each) { return each.second.until <= at; });
 }
 
-command_result control_state::applyOne(const barrier_command&, unix_milliseconds)
+command_result control_state::applyCommand(const barrier_command&, unix_milliseconds)
 {
     return {};
 }
 
-command_result control_state::applyOne(const change_command& next, unix_milliseconds at)
+command_result control_state::applyCommand(const change_command& next, unix_milliseconds at)
 {
     auto kept = m_results.find({ next.operatorName, next.requestId });
     if (kept != m_results.end())
@@ -101,36 +101,36 @@
         result.outcome = change_outcome::conflict;
         result.message = "the configuration is at revision " + std::to_string(m_configuration.revision())
             + ", not " + std::to_string(next.expectedRevision) + ": read it again and repeat the change";
-    } else if (auto status = m_configuration.check(next.what); !status.ok()) {
+    } else if (auto status = m_configuration.check(next.requestedChange); !status.ok()) {
         result.outcome = change_outcome::invalid;
         result.message = std::string(status.message());
     } else {
-        delta accepted = m_configuration.apply(next.what);
+        delta accepted = m_configuration.apply(next.requestedChange);
         result.outcome = change_outcome::accepted;
         result.revision = accepted.revision;
         m_audit.push_back({ at, next.operatorName, next.requestId, accepted });
-        if (m_audit.size() > maxKeptAudit)
+        if (m_audit.size() > maxRetainedAuditRecords)
             m_audit.pop_front();
         m_deltas.push_back(std::move(accepted));
-        if (m_deltas.size() > maxKeptDeltas)
+        if (m_deltas.size() > maxRetainedDeltas)
             m_deltas.pop_front();
     }
-    remember(next, result);
+    storeResult(next, result);
     return result;
 }
 
-void control_state::remember(const change_command& next, const change_result& result)
+void control_state::storeResult(const change_command& next, const change_result& result)
 {
     request_key key { next.operatorName, next.requestId };
     m_results[key] = result;
     m_resultOrder.push_back(std::move(key));
-    if (m_resultOrder.size() <= maxKeptResults)
+    if (m_resultOrder.size() <= maxRetainedResults)
         return;
     m_results.erase(m_resultOrder.front());
     m_resultOrder.pop_front();
 }
 
-command_result control_state::applyOne(const claim_command& next, unix_milliseconds at)
+command_result control_state::applyCommand(const claim_command& next, unix_milliseconds at)
 {
     claim_result result;
     auto found = m_claims.find(next.key);
@@ -140,40 +140,40 @@
         claim.fingerprint = next.fingerprint;
         claim.holder = next.holder;
         claim.runUntil = next.runUntil;
-        claim.keepUntil = std::max(at, next.runUntil) + claimKeepMs;
+        claim.keepUntil = std::max(at, next.runUntil) + claimRetentionMs;
         m_claimExpiry.emplace(claim.keepUntil, claim.key);
         m_claims.emplace(next.key, std::move(claim));
-        result.state = claim_answer::granted;
+        result.state = claim_status::granted;
         return result;
     }
     const claim_state& claim = found->second;
     if (claim.fingerprint != next.fingerprint) {
-        result.state = claim_answer::conflict;
+        result.state = claim_status::conflict;
         return result;
     }
     // The same attempt asks again because the first answer was lost. It has not dispatched yet.
-    if (claim.holder == next.holder && claim.state == claim_answer::in_progress) {
-        result.state = claim_answer::granted;
+    if (claim.holder == next.holder && claim.state == claim_status::in_progress) {
+        result.state = claim_status::granted;
         return result;
     }
     result.state = claim.state;
-    result.answer = claim.answer;
-    if (claim.state != claim_answer::in_progress)
+    result.response = claim.response;
+    if (claim.state != claim_status::in_progress)
         return result;
     if (at > claim.runUntil)
-        result.state = claim_answer::unknown;
+        result.state = claim_status::unknown;
     else
         result.retryAfterMs = retryAfter(claim.runUntil, at);
     return result;
 }
 
-command_result control_state::applyOne(const finish_claim_command& next, unix_milliseconds)
+command_result control_state::applyCommand(const finish_claim_command& next, unix_milliseconds)
 {
     auto found = m_claims.find(next.key);
     if (found == m_claims.end() || found->second.holder != next.holder)
         return {};
     claim_state& claim = found->second;
-    if (claim.state == claim_answer::completed)
+    if (claim.state == claim_status::completed)
         return {};
     if (next.outcome == claim_outcome::not_run) {
         auto [begin, end] = m_claimExpiry.equal_range(claim.keepUntil);
@@ -186,12 +186,12 @@
         m_claims.erase(found);
         return {};
     }
-    claim.state = next.outcome == claim_outcome::completed ? claim_answer::completed : claim_answer::unknown;
-    claim.answer = next.answer;
+    claim.state = next.outcome == claim_outcome::completed ? claim_status::completed : claim_status::unknown;
+    claim.response = next.response;
     return {};
 }
 
-command_result control_state::applyOne(const usage_command& next, unix_milliseconds)
+command_result control_state::applyCommand(const usage_command& next, unix_milliseconds)
 {
     auto& seen = m_usageSources[{ next.source, next.incarnation }];
     if (next.sequence <= seen)
@@ -206,7 +206,7 @@
     return {};
 }
 
-command_result control_state::applyOne(const verdict_command& next, unix_milliseconds at)
+command_result control_state::applyCommand(const verdict_command& next, unix_milliseconds at)
 {
     if (next.withdraw) {
         m_verdicts.erase(next.fingerprint);
@@ -215,11 +215,11 @@
     auto& kept = m_verdicts[next.fingerprint];
     kept.fingerprint = next.fingerprint;
     kept.crashes = std::max(kept.crashes, next.crashes);
-    kept.until = at + verdictKeepMs;
+    kept.until = at + verdictRetentionMs;
     return {};
 }
 
-command_result control_state::applyOne(const lease_command& next, unix_milliseconds at)
+command_result control_state::applyCommand(const lease_command& next, unix_milliseconds at)
 {
     auto& lease = m_leases[next.name];
     bool held = !lease.holder.empty() && at < lease.until;
@@ -231,19 +231,19 @@
     return lease_result { true, lease.fence };
 }
 
-command_result control_state::applyOne(const adopt_document_command& next, unix_milliseconds)
+command_result control_state::applyCommand(const adopt_document_command& next, unix_milliseconds)
 {
     m_deployment.adopt(next.document);
     return {};
 }
 
-command_result control_state::applyOne(const set_in_service_command& next, unix_milliseconds)
+command_result control_state::applyCommand(const set_in_service_command& next, unix_milliseconds)
 {
     m_deployment.setInService(next.failureDomain, next.inService);
     return {};
 }
 
-command_result control_state::applyOne(const name_weights_command& next, unix_milliseconds)
+command_result control_state::applyCommand(const name_weights_command& next, unix_milliseconds)
 {
     m_deployment.nameWeights(next.model, next.version);
     return {};
--- a/packages/core/src/plumfold_raft_node.cpp
+++ b/packages/core/src/plumfold_raft_node.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr milliseconds joinInterval { 500 };
-constexpr milliseconds snapshotResendInterval { 1000 };
+constexpr milliseconds snapshotRetryInterval { 1000 };
 
 } // namespace
 
@@ -19,7 +19,7 @@
     , m_snapshot(std::move(state.snapshot))
     , m_log(std::move(state.entries))
     , m_commitIndex(m_snapshot.index)
-    , m_handedOut(m_snapshot.index)
+    , m_lastDelivered(m_snapshot.index)
     , m_random(m_options.seed)
 {
     m_persistedIndex = lastIndex();
@@ -50,15 +50,15 @@
         m_members = entry.members;
         m_membershipIndex = entry.index;
     }
-    m_work.append.push_back(entry);
+    m_output.append.push_back(entry);
     m_log.push_back(std::move(entry));
 }
 
 void raft_node::truncateFrom(std::uint64_t index)
 {
     m_log.resize(index - m_snapshot.index - 1);
-    std::erase_if(m_work.append, [&](const log_entry& e) { return e.index >= index; });
-    m_work.truncateFrom = std::min(index, m_work.truncateFrom.value_or(index));
+    std::erase_if(m_output.append, [&](const log_entry& e) { return e.index >= index; });
+    m_output.truncateFrom = std::min(index, m_output.truncateFrom.value_or(index));
     m_persistedIndex = std::min(m_persistedIndex, index - 1);
     recomputeMembers();
 }
@@ -98,7 +98,7 @@
     return self && self->incarnation == m_incarnation && self->voter;
 }
 
-bool raft_node::isKnownVoter(const raft_message& message) const
+bool raft_node::isFromCurrentVoter(const raft_message& message) const
 {
     const auto* member = m_members.find(message.from);
     return member && member->voter && member->incarnation == message.fromIncarnation;
@@ -137,8 +137,8 @@
     for (const auto& member : m_members.members) {
         auto [place, isNew] = m_progress.try_emplace(member.node);
         if (isNew) {
-            place->second.next = lastIndex() + 1;
-            place->second.lastAnswer = now;
+            place->second.nextIndex = lastIndex() + 1;
+            place->second.lastResponse = now;
         }
     }
     broadcastAppend(now);
@@ -148,10 +148,10 @@
 void raft_node::promoteCaughtUpLearner(instant now)
 {
     for (const auto& member : m_members.members) {
-        if (member.voter || m_progress[member.node].match < m_commitIndex)
+        if (member.voter || m_progress[member.node].matchIndex < m_commitIndex)
             continue;
-        bool answersNow = now - m_progress[member.node].lastAnswer < m_options.electionTimeout;
-        if (!answersNow || m_progress[member.node].match == 0)
+        bool recentlyActive = now - m_progress[member.node].lastResponse < m_options.electionTimeout;
+        if (!recentlyActive || m_progress[member.node].matchIndex == 0)
             continue;
         raft_membership next = m_members;
         for (auto& candidate : next.members)
@@ -161,13 +161,13 @@
     }
 }
 
-bool raft_node::form(instant now)
+bool raft_node::bootstrap(instant now)
 {
     if (!m_members.members.empty() || lastIndex() != 0)
         return false;
     m_hard.term = 1;
     m_hard.votedFor = m_options.node;
-    m_work.hard = m_hard;
+    m_output.hard = m_hard;
     log_entry entry;
     entry.term = 1;
     entry.index = 1;
@@ -182,8 +182,8 @@
 
 void raft_node::resetElectionTimer(instant now)
 {
-    std::uniform_int_distribution<std::int64_t> spread(0, m_options.electionTimeout.count());
-    m_electionDeadline = now + m_options.electionTimeout + milliseconds(spread(m_random));
+    std::uniform_int_distribution<std::int64_t> jitter(0, m_options.electionTimeout.count());
+    m_electionDeadline = now + m_options.electionTimeout + milliseconds(jitter(m_random));
 }
 
 void raft_node::tick(instant now)
@@ -210,28 +210,29 @@
 
 void raft_node::checkQuorum(instant now)
 {
-    if (isFresh(now) || now < m_electionDeadline)
+    if (hasActiveLeader(now) || now < m_electionDeadline)
         return;
     becomeFollower(m_hard.term, {}, now);
 }
 
-bool raft_node::isFresh(instant now) const
+bool raft_node::hasActiveLeader(instant now) const
 {
     if (m_role != raft_role::leader)
         return !m_leader.empty() && now - m_lastLeaderContact < m_options.electionTimeout;
-    std::set<node_name> answering { m_options.node };
+    std::set<node_name> activeNodes { m_options.node };
     for (const auto& [node, state] : m_progress) {
-        if (now - state.lastAnswer < m_options.electionTimeout)
-            answering.insert(node);
+        if (now - state.lastResponse < m_options.electionTimeout)
+            activeNodes.insert(node);
     }
-    return isQuorum(answering);
+    return isQuorum(activeNodes);
 }
 
-bool raft_node::isCurrent(instant now) const
+bool raft_node::isCaughtUp(instant now) const
 {
     if (m_role == raft_role::leader)
-        return isFresh(now);
-    return isVoter() && isFresh(now) && m_caughtUpAt && now - *m_caughtUpAt < m_options.electionTimeout;
+        return hasActiveLeader(now);
+    return isVoter() && hasActiveLeader(now) && m_caughtUpAt
+        && now - *m_caughtUpAt < m_options.electionTimeout;
 }
 
 // ---------------------------------------------------------------- roles
@@ -241,7 +242,7 @@
     if (term > m_hard.term) {
         m_hard.term = term;
         m_hard.votedFor.clear();
-        m_work.hard = m_hard;
+        m_output.hard = m_hard;
     }
     m_role = raft_role::follower;
     m_leader = leader;
@@ -258,7 +259,7 @@
     if (!preVote) {
         ++m_hard.term;
         m_hard.votedFor = m_options.node;
-        m_work.hard = m_hard;
+        m_output.hard = m_hard;
     }
     if (isQuorum(m_votes)) {
         if (preVote)
@@ -287,8 +288,8 @@
     m_progress.clear();
     for (const auto& member : m_members.members) {
         progress state;
-        state.next = lastIndex() + 1;
-        state.lastAnswer = now;
+        state.nextIndex = lastIndex() + 1;
+        state.lastResponse = now;
         m_progress[member.node] = state;
     }
     resetElectionTimer(now);
@@ -299,7 +300,7 @@
     broadcastAppend(now);
 }
 
-bool raft_node::handOver(instant now)
+bool raft_node::transferLeadership(instant now)
 {
     if (m_role != raft_role::leader)
         return false;
@@ -307,7 +308,7 @@
     for (const auto& member : m_members.members) {
         if (!member.voter || member.node == m_options.node)
             continue;
-        if (!best || m_progress[member.node].match > m_progress[best->node].match)
+        if (!best || m_progress[member.node].matchIndex > m_progress[best->node].matchIndex)
             best = &member;
     }
     if (!best)
@@ -350,7 +351,7 @@
 void raft_node::sendAppend(const raft_member& to, instant now)
 {
     auto& state = m_progress[to.node];
-    if (state.next <= m_snapshot.index) {
+    if (state.nextIndex <= m_snapshot.index) {
         sendSnapshot(to, state, now);
         return;
     }
@@ -358,25 +359,25 @@
     message.kind = message_kind::append;
     message.to = to.node;
     message.term = m_hard.term;
-    message.logIndex = state.next - 1;
-    message.logTerm = termAt(state.next - 1);
+    message.logIndex = state.nextIndex - 1;
+    message.logTerm = termAt(state.nextIndex - 1);
     message.commitIndex = m_commitIndex;
     std::size_t bytes = 0;
-    for (std::uint64_t index = state.next; index <= lastIndex(); ++index) {
+    for (std::uint64_t index = state.nextIndex; index <= lastIndex(); ++index) {
         const auto& entry = m_log[index - m_snapshot.index - 1];
         if (message.entries.size() >= m_options.maxEntriesPerAppend || bytes > m_options.maxBytesPerAppend)
             break;
         bytes += entry.payload.size();
         message.entries.push_back(entry);
     }
-    state.next += message.entries.size();
+    state.nextIndex += message.entries.size();
     state.lastSent = now;
     send(std::move(message));
 }
 
 void raft_node::sendSnapshot(const raft_member& to, progress& state, instant now)
 {
-    if (state.snapshotInFlight && now - state.lastSent < snapshotResendInterval)
+    if (state.snapshotInFlight && now - state.lastSent < snapshotRetryInterval)
         return;
     state.snapshotInFlight = true;
     state.lastSent = now;
@@ -394,14 +395,14 @@
         // Only entries of the present term are committed by counting.
         if (termAt(index) != m_hard.term)
             return;
-        std::set<node_name> holders;
+        std::set<node_name> replicas;
         for (const auto& [node, state] : m_progress) {
-            if (state.match >= index)
-                holders.insert(node);
+            if (state.matchIndex >= index)
+                replicas.insert(node);
         }
         if (m_persistedIndex >= index)
-            holders.insert(m_options.node);
-        if (!isQuorum(holders))
+            replicas.insert(m_options.node);
+        if (!isQuorum(replicas))
             continue;
         m_commitIndex = index;
         return;
@@ -414,26 +415,26 @@
 {
     message.from = m_options.node;
     message.fromIncarnation = m_incarnation;
-    m_work.messages.push_back(std::move(message));
+    m_output.messages.push_back(std::move(message));
 }
 
 void raft_node::collectCommitted()
 {
-    while (m_handedOut < m_commitIndex) {
-        ++m_handedOut;
-        m_work.committed.push_back(m_log[m_handedOut - m_snapshot.index - 1]);
+    while (m_lastDelivered < m_commitIndex) {
+        ++m_lastDelivered;
+        m_output.committed.push_back(m_log[m_lastDelivered - m_snapshot.index - 1]);
     }
 }
 
-raft_work raft_node::takeWork()
+raft_output raft_node::takeOutput()
 {
     collectCommitted();
-    return std::exchange(m_work, {});
+    return std::exchange(m_output, {});
 }
 
 void raft_node::persisted(instant now)
 {
-    m_persistedIndex = m_work.append.empty() ? lastIndex() : m_work.append.front().index - 1;
+    m_persistedIndex = m_output.append.empty() ? lastIndex() : m_output.append.front().index - 1;
     if (m_role != raft_role::leader)
         return;
     std::uint64_t before = m_commitIndex;
--- a/packages/entry/src/plumfold_answer_writer.cpp
+++ b/packages/entry/src/plumfold_answer_writer.cpp
@@ -59,7 +59,7 @@
     sendWhole(response, response, errorJson(error).dump());
 }
 
-void sendStored(Poco::Net::HTTPServerResponse& response, const core::stored_answer& answer)
+void sendStored(Poco::Net::HTTPServerResponse& response, const core::stored_response& answer)
 {
     response.setStatus(static_cast<HTTPResponse::HTTPStatus>(answer.status));
     response.setContentType(answer.contentType);
@@ -156,7 +156,7 @@
     return m_out->good();
 }
 
-void answer_writer::replay(const core::stored_answer& answer)
+void answer_writer::replay(const core::stored_response& answer)
 {
     json whole = json::parse(answer.body, nullptr, false);
     if (!m_request.stream || !whole.is_object()) {
@@ -181,9 +181,9 @@
     m_out->flush();
 }
 
-core::stored_answer answer_writer::stored(const answer_end& end) const
+core::stored_response answer_writer::stored(const answer_end& end) const
 {
-    core::stored_answer answer;
+    core::stored_response answer;
     answer.status = HTTPResponse::HTTP_OK;
     answer.contentType = "application/json";
     answer.body = whole(end);
--- a/packages/entry/src/plumfold_answer_writer.hpp
+++ b/packages/entry/src/plumfold_answer_writer.hpp
@@ -35,7 +35,7 @@
     bool flush();
     bool end(const answer_end& end);
     /// Sends the stored answer of an earlier run in the shape that this call asked for.
-    void replay(const core::stored_answer& answer);
+    void replay(const core::stored_response& answer);
     /// Ends the answer with an error; in the middle of a stream as an event of its own.
     void fail(const core::error_info& error);
 
@@ -43,7 +43,7 @@
     const std::string& text() const { return m_text; }
 
     /// @return the whole answer in the shape of a call without stream, for resends.
-    core::stored_answer stored(const answer_end& end) const;
+    core::stored_response stored(const answer_end& end) const;
 
 private:
     void start();
@@ -61,6 +61,6 @@
 void sendError(Poco::Net::HTTPServerResponse& response, const core::error_info& error);
 
 /// Sends a stored answer as the whole answer.
-void sendStored(Poco::Net::HTTPServerResponse& response, const core::stored_answer& answer);
+void sendStored(Poco::Net::HTTPServerResponse& response, const core::stored_response& answer);
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_claim_guard.cpp
+++ b/packages/entry/src/plumfold_claim_guard.cpp
@@ -28,7 +28,7 @@
     m_claim.runUntil = runtime::unixNow() + static_cast<std::uint64_t>((claimTimeout + runFor).count());
 }
 
-absl::StatusOr<std::optional<core::stored_answer>> claim_guard::take()
+absl::StatusOr<std::optional<core::stored_response>> claim_guard::take()
 {
     auto answered = m_context.control.submit(core::command { 0, m_claim }, claimTimeout);
     const auto* result = answered.ok() ? std::get_if<core::claim_result>(&*answered) : nullptr;
@@ -42,24 +42,24 @@
             retryAfterUnavailable });
     }
     switch (result->state) {
-    case core::claim_answer::granted:
+    case core::claim_status::granted:
         return std::nullopt;
-    case core::claim_answer::completed:
-        if (result->answer.truncated)
+    case core::claim_status::completed:
+        if (result->response.truncated)
             return core::toStatus({ core::error_kind::outcome_unknown, core::run_state::ran,
                 "the request has run and its answer was delivered once; it was too large to keep",
                 std::nullopt });
-        return result->answer;
-    case core::claim_answer::in_progress:
+        return result->response;
+    case core::claim_status::in_progress:
         return core::toStatus({ core::error_kind::claim_in_progress, core::run_state::unknown,
             "a request with this Idempotency-Key is in progress: come back later",
             core::milliseconds(result->retryAfterMs) });
-    case core::claim_answer::unknown:
+    case core::claim_status::unknown:
         return core::toStatus({ core::error_kind::outcome_unknown, core::run_state::unknown,
             "a request with this Idempotency-Key was sent and its outcome is not known: find out what was "
             "done",
             std::nullopt });
-    case core::claim_answer::conflict:
+    case core::claim_status::conflict:
         return callerError(core::error_kind::idempotency_conflict,
             "this Idempotency-Key was used for another request: use a new key");
     }
@@ -72,7 +72,7 @@
     m_context.control.submitLater(core::command { 0, std::move(command) }, releaseTimeout);
 }
 
-void claim_guard::completed(const core::stored_answer& answer)
+void claim_guard::completed(const core::stored_response& answer)
 {
     finish(core::claim_outcome::completed, answer);
 }
@@ -82,7 +82,7 @@
     finish(core::claim_outcome::unknown, {});
 }
 
-void claim_guard::finish(core::claim_outcome outcome, const core::stored_answer& answer)
+void claim_guard::finish(core::claim_outcome outcome, const core::stored_response& answer)
 {
     core::command command { 0, core::finish_claim_command { m_claim.key, m_claim.holder, outcome, answer } };
     // Kept before the caller is answered, so that a resend after a lost answer finds it. A caller does not
--- a/packages/entry/src/plumfold_claim_guard.hpp
+++ b/packages/entry/src/plumfold_claim_guard.hpp
@@ -18,16 +18,16 @@
 
     /// Takes the claim.
     /// @return nothing when it was granted; the stored answer of an earlier run; or the error for the caller.
-    absl::StatusOr<std::optional<core::stored_answer>> take();
+    absl::StatusOr<std::optional<core::stored_response>> take();
 
     /// Nothing was sent to a target, or the target itself said that it did not run: the key is free again.
     void notRun();
     /// The answer is kept for resends.
-    void completed(const core::stored_answer& answer);
+    void completed(const core::stored_response& answer);
     void unknown();
 
 private:
-    void finish(core::claim_outcome outcome, const core::stored_answer& answer);
+    void finish(core::claim_outcome outcome, const core::stored_response& answer);
 
     entry_context& m_context;
     core::claim_command m_claim;
--- a/packages/entry/src/plumfold_service_flow.cpp
+++ b/packages/entry/src/plumfold_service_flow.cpp
@@ -113,9 +113,9 @@
 
 void service_flow::answer(const core::dispatch_plan& plan, const service_result& result)
 {
-    core::stored_answer stored { result.status, result.contentType, result.body, false };
+    core::stored_response stored { result.status, result.contentType, result.body, false };
     if (m_claim) {
-        core::stored_answer kept = stored;
+        core::stored_response kept = stored;
         if (kept.body.size() > maxStoredBytes) {
             kept.truncated = true;
             kept.body.clear();
--- a/packages/plumfold/src/plumfold_status_commands.cpp
+++ b/packages/plumfold/src/plumfold_status_commands.cpp
@@ -78,11 +78,12 @@
         return printFailure(records.status(), context.asJson());
     json out = json::array();
     for (const auto& record : *records) {
-        const auto* put = std::get_if<core::record>(&record.what.what);
-        core::record_key key = put ? core::keyOf(*put) : std::get<core::record_key>(record.what.what);
+        const auto* put = std::get_if<core::record>(&record.appliedDelta.appliedChange);
+        core::record_key key
+            = put ? core::keyOf(*put) : std::get<core::record_key>(record.appliedDelta.appliedChange);
         out.push_back(
             { { "at", record.at }, { "operator", record.operatorName }, { "request_id", record.requestId },
-                { "revision", record.what.revision }, { "action", put ? "put" : "remove" },
+                { "revision", record.appliedDelta.revision }, { "action", put ? "put" : "remove" },
                 { "kind", core::recordKindName(key.kind) }, { "name", key.name } });
     }
     print(out, context.asJson());
--- a/packages/wire/include/plumfold/wire/plumfold_convert.hpp
+++ b/packages/wire/include/plumfold/wire/plumfold_convert.hpp
@@ -67,8 +67,8 @@
 void write(ClaimState::Builder out, const core::claim_state& value);
 core::claim_state read(ClaimState::Reader in);
 
-void write(RememberedResult::Builder out, const core::remembered_result& value);
-core::remembered_result read(RememberedResult::Reader in);
+void write(RememberedResult::Builder out, const core::stored_change_result& value);
+core::stored_change_result read(RememberedResult::Reader in);
 
 void write(UsageSource::Builder out, const core::usage_source& value);
 core::usage_source read(UsageSource::Reader in);
--- a/packages/wire/src/plumfold_convert_commands.cpp
+++ b/packages/wire/src/plumfold_convert_commands.cpp
@@ -23,7 +23,7 @@
     return core::claim_key { text(in.getCustomer()), text(in.getKey()) };
 }
 
-void write(StoredAnswer::Builder out, const core::stored_answer& value)
+void write(StoredAnswer::Builder out, const core::stored_response& value)
 {
     out.setStatus(value.status);
     out.setContentType(value.contentType);
@@ -31,9 +31,9 @@
     out.setTruncated(value.truncated);
 }
 
-core::stored_answer read(StoredAnswer::Reader in)
+core::stored_response read(StoredAnswer::Reader in)
 {
-    return core::stored_answer { in.getStatus(), text(in.getContentType()), text(in.getBody()),
+    return core::stored_response { in.getStatus(), text(in.getContentType()), text(in.getBody()),
         in.getTruncated() };
 }
 
@@ -48,7 +48,7 @@
     to.setOperatorName(value.operatorName);
     to.setRequestId(value.requestId);
     to.setExpectedRevision(value.expectedRevision);
-    wire::write(to.initChange(), value.what);
+    wire::write(to.initChange(), value.requestedChange);
 }
 
 void writeCommand(Command::Builder out, const core::claim_command& value)
@@ -66,7 +66,7 @@
     write(to.initKey(), value.key);
     to.setHolder(value.holder);
     to.setOutcome(static_cast<std::uint8_t>(value.outcome));
-    write(to.initAnswer(), value.answer);
+    write(to.initAnswer(), value.response);
 }
 
 void writeCommand(Command::Builder out, const core::usage_command& value)
@@ -120,7 +120,7 @@
 void write(Command::Builder out, const core::command& value)
 {
     out.setAt(value.at);
-    std::visit([&](const auto& one) { writeCommand(out, one); }, value.what);
+    std::visit([&](const auto& one) { writeCommand(out, one); }, value.payload);
 }
 
 core::command read(Command::Reader in)
@@ -129,52 +129,53 @@
     value.at = in.getAt();
     switch (in.which()) {
     case Command::BARRIER:
-        value.what = core::barrier_command {};
+        value.payload = core::barrier_command {};
         return value;
     case Command::CHANGE: {
         auto from = in.getChange();
-        value.what = core::change_command { text(from.getOperatorName()), text(from.getRequestId()),
+        value.payload = core::change_command { text(from.getOperatorName()), text(from.getRequestId()),
             from.getExpectedRevision(), read(from.getChange()) };
         return value;
     }
     case Command::CLAIM: {
         auto from = in.getClaim();
-        value.what = core::claim_command { read(from.getKey()), from.getFingerprint(), text(from.getHolder()),
-            from.getRunUntil() };
+        value.payload = core::claim_command { read(from.getKey()), from.getFingerprint(),
+            text(from.getHolder()), from.getRunUntil() };
         return value;
     }
     case Command::FINISH_CLAIM: {
         auto from = in.getFinishClaim();
-        value.what = core::finish_claim_command { read(from.getKey()), text(from.getHolder()),
+        value.payload = core::finish_claim_command { read(from.getKey()), text(from.getHolder()),
             checkedEnum<core::claim_outcome>(from.getOutcome(), claimOutcomes), read(from.getAnswer()) };
         return value;
     }
     case Command::USAGE: {
         auto from = in.getUsage();
-        value.what = core::usage_command { text(from.getSource()), from.getIncarnation(), from.getSequence(),
-            readList(from.getRows()) };
+        value.payload = core::usage_command { text(from.getSource()), from.getIncarnation(),
+            from.getSequence(), readList(from.getRows()) };
         return value;
     }
     case Command::LEASE: {
         auto from = in.getLease();
-        value.what
+        value.payload
             = core::lease_command { text(from.getName()), text(from.getHolder()), from.getDurationMs() };
         return value;
     }
     case Command::ADOPT_DOCUMENT:
-        value.what = core::adopt_document_command { read(in.getAdoptDocument()) };
+        value.payload = core::adopt_document_command { read(in.getAdoptDocument()) };
         return value;
     case Command::SET_IN_SERVICE:
-        value.what = core::set_in_service_command { text(in.getSetInService().getFailureDomain()),
+        value.payload = core::set_in_service_command { text(in.getSetInService().getFailureDomain()),
             in.getSetInService().getInService() };
         return value;
     case Command::NAME_WEIGHTS:
-        value.what = core::name_weights_command { text(in.getNameWeights().getModel()),
+        value.payload = core::name_weights_command { text(in.getNameWeights().getModel()),
             in.getNameWeights().getVersion() };
         return value;
     case Command::VERDICT: {
         auto from = in.getVerdict();
-        value.what = core::verdict_command { from.getFingerprint(), from.getCrashes(), from.getWithdraw() };
+        value.payload
+            = core::verdict_command { from.getFingerprint(), from.getCrashes(), from.getWithdraw() };
         return value;
     }
     }
@@ -201,7 +202,7 @@
     } else if (const auto* claimed = std::get_if<core::claim_result>(&value)) {
         auto to = out.initClaim();
         to.setState(static_cast<std::uint8_t>(claimed->state));
-        write(to.initAnswer(), claimed->answer);
+        write(to.initAnswer(), claimed->response);
         to.setRetryAfterMs(claimed->retryAfterMs);
     } else if (const auto* leased = std::get_if<core::lease_result>(&value)) {
         auto to = out.initLease();
@@ -223,7 +224,7 @@
         return core::lease_result { in.getLease().getGranted(), in.getLease().getFence() };
     case CommandResult::CLAIM: {
         auto from = in.getClaim();
-        return core::claim_result { checkedEnum<core::claim_answer>(from.getState(), claimAnswers),
+        return core::claim_result { checkedEnum<core::claim_status>(from.getState(), claimAnswers),
             read(from.getAnswer()), from.getRetryAfterMs() };
     }
     }
@@ -255,7 +256,7 @@
     out.setState(static_cast<std::uint8_t>(value.state));
     out.setRunUntil(value.runUntil);
     out.setKeepUntil(value.keepUntil);
-    write(out.initAnswer(), value.answer);
+    write(out.initAnswer(), value.response);
 }
 
 core::claim_state read(ClaimState::Reader in)
@@ -264,23 +265,23 @@
     value.key = read(in.getKey());
     value.fingerprint = in.getFingerprint();
     value.holder = text(in.getHolder());
-    value.state = checkedEnum<core::claim_answer>(in.getState(), claimAnswers);
+    value.state = checkedEnum<core::claim_status>(in.getState(), claimAnswers);
     value.runUntil = in.getRunUntil();
     value.keepUntil = in.getKeepUntil();
-    value.answer = read(in.getAnswer());
+    value.response = read(in.getAnswer());
     return value;
 }
 
-void write(RememberedResult::Builder out, const core::remembered_result& value)
+void write(RememberedResult::Builder out, const core::stored_change_result& value)
 {
     out.setOperatorName(value.operatorName);
     out.setRequestId(value.requestId);
     write(out.initResult(), value.result);
 }
 
-core::remembered_result read(RememberedResult::Reader in)
+core::stored_change_result read(RememberedResult::Reader in)
 {
-    return core::remembered_result { text(in.getOperatorName()), text(in.getRequestId()),
+    return core::stored_change_result { text(in.getOperatorName()), text(in.getRequestId()),
         read(in.getResult()) };
 }
 
@@ -314,7 +315,7 @@
     out.setAt(value.at);
     out.setOperatorName(value.operatorName);
     out.setRequestId(value.requestId);
-    write(out.initDelta(), value.what);
+    write(out.initDelta(), value.appliedDelta);
 }
 
 core::audit_record read(AuditRecord::Reader in)
--- a/packages/wire/src/plumfold_convert_configuration.cpp
+++ b/packages/wire/src/plumfold_convert_configuration.cpp
@@ -117,7 +117,7 @@
 void write(Delta::Builder out, const core::delta& value)
 {
     out.setRevision(value.revision);
-    write(out.initChange(), value.what);
+    write(out.initChange(), value.appliedChange);
 }
 
 core::delta read(Delta::Reader in)
--- a/tests/core/plumfold_control_state_tests.cpp
+++ b/tests/core/plumfold_control_state_tests.cpp
@@ -87,54 +87,54 @@
 TEST_CASE("A claim is granted once until it is known that the work did not run", "[control][at-most-once]")
 {
     control_state state;
-    CHECK(claimed(state, claimAt(1, "first")).state == claim_answer::granted);
+    CHECK(claimed(state, claimAt(1, "first")).state == claim_status::granted);
     CHECK(
-        claimed(state, claimAt(2, "first")).state == claim_answer::granted); // the answer was lost on its way
+        claimed(state, claimAt(2, "first")).state == claim_status::granted); // the answer was lost on its way
     auto other = claimed(state, claimAt(3, "second"));
-    CHECK(other.state == claim_answer::in_progress);
+    CHECK(other.state == claim_status::in_progress);
     CHECK(other.retryAfterMs > 0);
     SECTION("the stored answer is given to resends")
     {
         state.apply(finishAt(4, "first", claim_outcome::completed));
         auto resend = claimed(state, claimAt(5, "second"));
-        CHECK(resend.state == claim_answer::completed);
-        CHECK(resend.answer.body == "done");
+        CHECK(resend.state == claim_status::completed);
+        CHECK(resend.response.body == "done");
     }
     SECTION("not run frees the key")
     {
         state.apply(finishAt(4, "first", claim_outcome::not_run));
-        CHECK(claimed(state, claimAt(5, "second")).state == claim_answer::granted);
+        CHECK(claimed(state, claimAt(5, "second")).state == claim_status::granted);
     }
     SECTION("only the holder may free the key")
     {
         state.apply(finishAt(4, "second", claim_outcome::not_run));
-        CHECK(claimed(state, claimAt(5, "second")).state == claim_answer::in_progress);
+        CHECK(claimed(state, claimAt(5, "second")).state == claim_status::in_progress);
     }
     SECTION("a holder that vanished leaves an unknown outcome, never a second run")
     {
-        CHECK(claimed(state, claimAt(5000, "second")).state == claim_answer::unknown);
-        CHECK(claimed(state, claimAt(3600'000, "third")).state == claim_answer::unknown);
+        CHECK(claimed(state, claimAt(5000, "second")).state == claim_status::unknown);
+        CHECK(claimed(state, claimAt(3600'000, "third")).state == claim_status::unknown);
     }
     SECTION("a completed claim cannot be freed afterwards")
     {
         state.apply(finishAt(4, "first", claim_outcome::completed));
         state.apply(finishAt(5, "first", claim_outcome::not_run));
-        CHECK(claimed(state, claimAt(6, "second")).state == claim_answer::completed);
+        CHECK(claimed(state, claimAt(6, "second")).state == claim_status::completed);
     }
     SECTION("another request under the same key is a conflict")
     {
-        CHECK(claimed(state, claimAt(4, "second", 8)).state == claim_answer::conflict);
+        CHECK(claimed(state, claimAt(4, "second", 8)).state == claim_status::conflict);
     }
     SECTION("another customer's key is another key")
     {
         command foreign { 4, claim_command { { "samvinna", "key" }, 7, "x", 100 } };
-        CHECK(claimed(state, foreign).state == claim_answer::granted);
+        CHECK(claimed(state, foreign).state == claim_status::granted);
     }
     SECTION("a claim expires only after its stated time")
     {
         constexpr unix_milliseconds day = 24ull * 3600 * 1000;
-        CHECK(claimed(state, claimAt(day, "second")).state == claim_answer::unknown);
-        CHECK(claimed(state, claimAt(day + 2000, "second")).state == claim_answer::granted);
+        CHECK(claimed(state, claimAt(day, "second")).state == claim_status::unknown);
+        CHECK(claimed(state, claimAt(day + 2000, "second")).state == claim_status::granted);
     }
 }
 
--- a/tests/core/plumfold_raft_node_tests.cpp
+++ b/tests/core/plumfold_raft_node_tests.cpp
@@ -11,7 +11,7 @@
 {
     raft_cluster cluster(3, 1, {});
     CHECK(cluster.voters() == 3);
-    CHECK(cluster.proposeAnywhere("one"));
+    CHECK(cluster.proposeToLeader("one"));
     cluster.run(200);
     CHECK(cluster.applied() == std::vector<std::string> { "one" });
 }
@@ -20,13 +20,13 @@
 {
     raft_cluster cluster(3, 2, {});
     std::string old = *cluster.leader();
-    cluster.cutOff(old);
+    cluster.isolate(old);
     REQUIRE(cluster.node(old).propose("lost", core::instant(std::chrono::hours(2))));
     cluster.run(2000);
     CHECK(cluster.node(old).role() != core::raft_role::leader);
     REQUIRE(cluster.leader());
     CHECK(*cluster.leader() != old);
-    REQUIRE(cluster.proposeAnywhere("kept"));
+    REQUIRE(cluster.proposeToLeader("kept"));
     cluster.run(200);
     cluster.reconnectAll();
     cluster.run(1000);
@@ -39,7 +39,7 @@
     std::string leader = *cluster.leader();
     std::string other = leader == "b" ? "c" : "b";
     auto term = cluster.node(leader).term();
-    cluster.cutOff(other);
+    cluster.isolate(other);
     cluster.run(3000);
     cluster.reconnectAll();
     cluster.run(1000);
@@ -53,7 +53,7 @@
 {
     raft_cluster cluster(3, 4, {});
     for (int count = 0; count < 20; ++count)
-        cluster.proposeAnywhere("before " + std::to_string(count));
+        cluster.proposeToLeader("before " + std::to_string(count));
     cluster.run(500);
     for (int loss = 0; loss < 2; ++loss) {
         std::string leader = *cluster.leader();
@@ -67,7 +67,7 @@
         cluster.crash(leader);
         cluster.run(3000);
         REQUIRE(cluster.leader());
-        CHECK(cluster.proposeAnywhere("after " + std::to_string(loss)));
+        CHECK(cluster.proposeToLeader("after " + std::to_string(loss)));
         cluster.run(500);
         cluster.restart(leader);
         cluster.run(2000);
@@ -82,7 +82,7 @@
     std::string victim = leader == "a" ? "b" : "a";
     cluster.crash(victim);
     for (int count = 0; count < 50; ++count) {
-        cluster.proposeAnywhere(std::to_string(count));
+        cluster.proposeToLeader(std::to_string(count));
         cluster.run(20);
     }
     cluster.run(500);
@@ -97,7 +97,7 @@
     raft_cluster cluster(3, 6, {});
     std::string old = *cluster.leader();
     cluster.run(100);
-    REQUIRE(cluster.node(old).handOver(core::instant(std::chrono::hours(1))));
+    REQUIRE(cluster.node(old).transferLeadership(core::instant(std::chrono::hours(1))));
     cluster.run(60); // less than the election timeout of 150 ms
     REQUIRE(cluster.leader());
     CHECK(*cluster.leader() != old);
@@ -110,7 +110,7 @@
         faults.drop = *rc::gen::inRange(0, 20);
         faults.duplicate = *rc::gen::inRange(0, 10);
         faults.reorder = *rc::gen::inRange(0, 30);
-        faults.cut = *rc::gen::inRange(0, 6);
+        faults.partition = *rc::gen::inRange(0, 6);
         faults.crash = *rc::gen::inRange(0, 6);
         faults.loseDisk = *rc::gen::inRange(0, 4);
         faults.pause = *rc::gen::inRange(0, 4);
@@ -119,13 +119,13 @@
         for (int count = 0; count < 300; ++count) {
             cluster.step();
             if (count % 3 == 0)
-                cluster.proposeAnywhere(std::to_string(count));
+                cluster.proposeToLeader(std::to_string(count));
             if (count % 97 == 96)
                 cluster.compactAll();
         }
         cluster.heal();
         RC_ASSERT(cluster.leader().has_value());
-        RC_ASSERT(cluster.proposeAnywhere("last"));
+        RC_ASSERT(cluster.proposeToLeader("last"));
         cluster.run(1000);
         RC_ASSERT(cluster.applied().back() == "last");
         RC_ASSERT(cluster.allAcknowledgedApplied());
--- a/tests/core/support/plumfold_raft_cluster.cpp
+++ b/tests/core/support/plumfold_raft_cluster.cpp
@@ -10,7 +10,7 @@
 using core::milliseconds;
 
 constexpr milliseconds tick { 10 };
-constexpr int maxSteadyTicks = 2000;
+constexpr int maxSettlingTicks = 2000;
 
 } // namespace
 
@@ -24,12 +24,12 @@
         m_nodes[name].disk.incarnation = m_nextIncarnation++;
     }
     for (auto& [name, each] : m_nodes)
-        boot(name);
-    m_nodes.begin()->second.node->form(m_now);
-    work(m_nodes.begin()->first);
+        startNode(name);
+    m_nodes.begin()->second.node->bootstrap(m_now);
+    processOutput(m_nodes.begin()->first);
     fault_rates none;
     std::swap(m_faults, none);
-    for (int count = 0; count < maxSteadyTicks && voters() < m_nodes.size(); ++count)
+    for (int count = 0; count < maxSettlingTicks && voters() < m_nodes.size(); ++count)
         run(static_cast<int>(tick.count()));
     std::swap(m_faults, none);
     if (voters() != m_nodes.size())
@@ -41,16 +41,16 @@
     return static_cast<int>(m_random() % 100) < percent;
 }
 
-std::string raft_cluster::anyNode()
+std::string raft_cluster::randomNode()
 {
     auto it = m_nodes.begin();
     std::advance(it, m_random() % m_nodes.size());
     return it->first;
 }
 
-void raft_cluster::boot(const std::string& name)
+void raft_cluster::startNode(const std::string& name)
 {
-    host& each = m_nodes[name];
+    simulated_node& each = m_nodes[name];
     core::raft_options options;
     options.node = name;
     options.address = name;
@@ -69,12 +69,12 @@
 
 void raft_cluster::restart(const std::string& name, bool diskLost)
 {
-    host& each = m_nodes.at(name);
+    simulated_node& each = m_nodes.at(name);
     if (diskLost) {
         each.disk = {};
         each.disk.incarnation = m_nextIncarnation++;
     }
-    boot(name);
+    startNode(name);
 }
 
 std::size_t raft_cluster::voters() const
@@ -122,7 +122,7 @@
 
 void raft_cluster::apply(const std::string& name, const core::log_entry& entry)
 {
-    host& each = m_nodes.at(name);
+    simulated_node& each = m_nodes.at(name);
     if (entry.index != each.applied + 1)
         throw std::logic_error("entries are applied out of order");
     each.applied = entry.index;
@@ -137,33 +137,33 @@
 }
 
 // Does a node's work as a process would: persist, sync, then send and apply.
-void raft_cluster::work(const std::string& name)
+void raft_cluster::processOutput(const std::string& name)
 {
-    host& each = m_nodes.at(name);
+    simulated_node& each = m_nodes.at(name);
     while (each.node) {
-        core::raft_work work = each.node->takeWork();
-        if (work.empty())
+        core::raft_output output = each.node->takeOutput();
+        if (output.empty())
             return;
-        if (work.install) {
-            each.disk.snapshot = *work.install;
+        if (output.install) {
+            each.disk.snapshot = *output.install;
             each.disk.entries.clear();
-            each.applied = work.install->index;
+            each.applied = output.install->index;
         }
-        if (work.truncateFrom) {
+        if (output.truncateFrom) {
             std::erase_if(
-                each.disk.entries, [&](const auto& entry) { return entry.index >= *work.truncateFrom; });
+                each.disk.entries, [&](const auto& entry) { return entry.index >= *output.truncateFrom; });
             for (const auto& [index, entry] : m_committed) {
-                bool held = index >= *work.truncateFrom && index <= each.applied;
+                bool held = index >= *output.truncateFrom && index <= each.applied;
                 if (held)
                     throw std::logic_error("an applied entry is truncated");
             }
         }
-        each.disk.entries.insert(each.disk.entries.end(), work.append.begin(), work.append.end());
-        if (work.hard)
-            each.disk.hard = *work.hard;
-        if (work.needsSync())
+        each.disk.entries.insert(each.disk.entries.end(), output.append.begin(), output.append.end());
+        if (output.hard)
+            each.disk.hard = *output.hard;
+        if (output.needsSync())
             each.node->persisted(m_now);
-        for (auto& message : work.messages) {
+        for (auto& message : output.messages) {
             if (!message.to.empty()) {
                 m_network.push_back(std::move(message));
                 continue;
@@ -175,13 +175,13 @@
                 m_network.back().to = other;
             }
         }
-        for (const auto& entry : work.committed)
+        for (const auto& entry : output.committed)
             apply(name, entry);
         checkLeader(name);
     }
 }
 
-void raft_cluster::deliverOne()
+void raft_cluster::deliverNext()
 {
     if (m_network.empty())
         return;
@@ -190,13 +190,13 @@
     bool keep = chance(m_faults.duplicate);
     if (!keep)
         m_network.erase(m_network.begin() + static_cast<std::ptrdiff_t>(index));
-    if (chance(m_faults.drop) || m_cuts.contains({ message.from, message.to }))
+    if (chance(m_faults.drop) || m_blockedLinks.contains({ message.from, message.to }))
         return;
-    host& to = m_nodes.at(message.to);
+    simulated_node& to = m_nodes.at(message.to);
     if (!to.node || m_now < to.pausedUntil)
         return;
     to.node->step(message, m_now);
-    work(message.to);
+    processOutput(message.to);
 }
 
 void raft_cluster::run(int length)
@@ -208,49 +208,49 @@
             if (!each.node || m_now < each.pausedUntil)
                 continue;
             each.node->tick(m_now);
-            work(name);
+            processOutput(name);
         }
         std::size_t pending = m_network.size();
         for (std::size_t count = 0; count < pending; ++count)
-            deliverOne();
+            deliverNext();
     }
 }
 
 void raft_cluster::step()
 {
-    std::string name = anyNode();
-    host& each = m_nodes.at(name);
+    std::string name = randomNode();
+    simulated_node& each = m_nodes.at(name);
     if (!each.node && chance(30))
         restart(name);
     else if (each.node && chance(m_faults.crash))
         crash(name);
     // One lost disk at a time, and only when all the others are voters that hold what was acknowledged.
-    bool othersWhole = voters() == m_nodes.size() && m_committed.size() > 0;
+    bool mayLoseDisk = voters() == m_nodes.size() && m_committed.size() > 0;
     auto leading = leader();
-    if (othersWhole && leading && *leading != name && chance(m_faults.loseDisk)) {
+    if (mayLoseDisk && leading && *leading != name && chance(m_faults.loseDisk)) {
         crash(name);
         restart(name, true);
         ++m_disksLost;
     }
-    if (chance(m_faults.cut))
-        m_cuts.insert({ anyNode(), anyNode() });
-    if (chance(m_faults.cut))
-        m_cuts.clear();
+    if (chance(m_faults.partition))
+        m_blockedLinks.insert({ randomNode(), randomNode() });
+    if (chance(m_faults.partition))
+        m_blockedLinks.clear();
     if (chance(m_faults.pause))
-        m_nodes.at(anyNode()).pausedUntil = m_now + milliseconds(m_random() % 1000);
+        m_nodes.at(randomNode()).pausedUntil = m_now + milliseconds(m_random() % 1000);
     run(static_cast<int>(tick.count()));
 }
 
 void raft_cluster::heal()
 {
     m_faults = {};
-    m_cuts.clear();
+    m_blockedLinks.clear();
     for (auto& [name, each] : m_nodes) {
         each.pausedUntil = {};
         if (!each.node)
             restart(name);
     }
-    for (int count = 0; count < maxSteadyTicks; ++count) {
+    for (int count = 0; count < maxSettlingTicks; ++count) {
         run(static_cast<int>(tick.count()));
         if (voters() == m_nodes.size() && leader())
             break;
@@ -258,7 +258,7 @@
     run(1000);
 }
 
-bool raft_cluster::proposeAnywhere(const std::string& command)
+bool raft_cluster::proposeToLeader(const std::string& command)
 {
     for (auto& [name, each] : m_nodes) {
         if (!each.node || m_now < each.pausedUntil || each.node->role() != core::raft_role::leader)
@@ -267,7 +267,7 @@
         if (!index)
             continue;
         m_proposed[{ name, *index }] = { each.node->term(), command };
-        work(name);
+        processOutput(name);
         return true;
     }
     return false;
@@ -300,11 +300,11 @@
     }
 }
 
-void raft_cluster::cutOff(const std::string& name)
+void raft_cluster::isolate(const std::string& name)
 {
     for (const auto& [other, unused] : m_nodes) {
-        m_cuts.insert({ name, other });
-        m_cuts.insert({ other, name });
+        m_blockedLinks.insert({ name, other });
+        m_blockedLinks.insert({ other, name });
     }
 }
 
--- a/tests/core/support/plumfold_raft_cluster.hpp
+++ b/tests/core/support/plumfold_raft_cluster.hpp
@@ -18,7 +18,7 @@
     int drop = 0;
     int duplicate = 0;
     int reorder = 0;
-    int cut = 0; ///< One-way cuts between two nodes.
+    int partition = 0; ///< One-way cuts between two nodes.
     int crash = 0;
     int loseDisk = 0;
     int pause = 0; ///< A node stands still while time goes on, as under SIGSTOP.
@@ -36,7 +36,7 @@
     void heal();
 
     /// Proposes a command on a node that leads, if any.
-    bool proposeAnywhere(const std::string& command);
+    bool proposeToLeader(const std::string& command);
     const std::vector<std::string>& applied() const { return m_applied; }
     std::size_t acknowledged() const { return m_acknowledged.size(); }
     /// @return whether every acknowledged command has been applied.
@@ -51,31 +51,31 @@
     core::raft_node& node(const std::string& name) { return *m_nodes.at(name).node; }
     bool isUp(const std::string& name) const { return m_nodes.at(name).node != nullptr; }
     void compactAll();
-    void cutOff(const std::string& name);
-    void reconnectAll() { m_cuts.clear(); }
+    void isolate(const std::string& name);
+    void reconnectAll() { m_blockedLinks.clear(); }
 
 private:
-    struct host {
+    struct simulated_node {
         std::unique_ptr<core::raft_node> node;
         core::raft_disk_state disk;
         std::uint64_t applied = 0;
         core::instant pausedUntil {};
     };
 
-    void boot(const std::string& name);
-    void work(const std::string& name);
-    void deliverOne();
+    void startNode(const std::string& name);
+    void processOutput(const std::string& name);
+    void deliverNext();
     void checkLeader(const std::string& name);
     void apply(const std::string& name, const core::log_entry& entry);
     bool chance(int percent);
-    std::string anyNode();
+    std::string randomNode();
 
     std::mt19937_64 m_random;
     fault_rates m_faults;
     core::instant m_now {};
-    std::map<std::string, host> m_nodes;
+    std::map<std::string, simulated_node> m_nodes;
     std::deque<core::raft_message> m_network;
-    std::set<std::pair<std::string, std::string>> m_cuts;
+    std::set<std::pair<std::string, std::string>> m_blockedLinks;
     std::map<std::uint64_t, std::string> m_leaders; // by term
     std::map<std::uint64_t, core::log_entry> m_committed;
     std::vector<std::string> m_applied;
