--- a/packages/core/include/plumfold/core/plumfold_configuration.hpp
+++ b/packages/core/include/plumfold/core/plumfold_configuration.hpp
@@ -9,7 +9,7 @@
 
 namespace plumfold::core {
 
-/// The whole configuration at one revision. Revisions only grow.
+/// The complete configuration at one revision. Revisions increase monotonically.
 class configuration {
 public:
     configuration() = default;
@@ -17,21 +17,25 @@
 
     std::uint64_t revision() const { return m_revision; }
 
-    /// @return a digest over all records; two configurations with the same digest have the same content.
+    /// @return a 64-bit digest over all records that is independent of their order. Equal digests
+    /// stand for equal content.
     std::uint64_t digest() const { return m_digest; }
 
-    /// Checks what the configuration would be after a change.
-    /// @return OK, or invalid_argument whose message names the remedy.
+    /// Validates the configuration that would result from a change.
+    /// @return OK, or invalid_argument with a message that says how to correct the change.
     absl::Status check(const change& requested) const;
 
-    /// Applies an accepted change as the next revision.
+    /// Applies a valid change as the next revision.
     /// @pre check(requested) is OK.
+    /// @return the change with its new revision.
     delta apply(const change& requested);
 
-    /// Applies the delta that follows the present revision.
-    /// @return false when the delta does not follow; nothing was changed then.
+    /// Applies the delta of the next revision.
+    /// @return false, without any effect, if the delta is not the one after the current revision.
     bool applyDelta(const delta& next);
 
+    // The lookups below return null if there is no such record.
+
     const customer_record* customer(const std::string& name) const;
     /// @return the customer whose API key has the given hash, or null.
     const customer_record* customerByKeyHash(const std::string& keyHash) const;
@@ -49,13 +53,16 @@
     template <class T> const T* find(record_kind kind, const std::string& name) const;
     void put(const record& value);
     void remove(const record_key& key);
+    /// @return a record that refers to the given one and so prevents its removal, or nothing.
     std::optional<record_key> findDependent(const record_key& key) const;
 
     std::uint64_t m_revision = 0;
-    std::uint64_t m_digest = 0; // sum of the records' own digests, so a change costs one record
+    std::uint64_t m_digest = 0; // sum of the record digests, so that an update hashes one record only
     std::map<record_key, record> m_records;
     std::map<std::string, std::string> m_customerByKeyHash;
-    std::size_t m_targetRecordCount = 0; // most installations have none, and routing asks for each target
+    // Lets target() skip the lookup: routing calls it per target, and most installations have no target
+    // records.
+    std::size_t m_targetRecordCount = 0;
 };
 
 } // namespace plumfold::core
--- a/packages/core/include/plumfold/core/plumfold_control_state.hpp
+++ b/packages/core/include/plumfold/core/plumfold_control_state.hpp
@@ -8,24 +8,27 @@
 
 namespace plumfold::core {
 
-/// One claim on a request that runs at most once.
+/// The claim on an at-most-once request. Its key is released if the request did not run, and expires
+/// otherwise.
 struct claim_state {
     claim_key key;
     std::uint64_t fingerprint = 0;
     std::string holder;
     claim_status state = claim_status::in_progress; ///< in_progress, completed or unknown.
-    unix_milliseconds runUntil = 0;
-    unix_milliseconds keepUntil = 0;
-    stored_response response;
+    unix_milliseconds runUntil = 0; ///< Once this has passed, an unfinished claim is reported as unknown.
+    unix_milliseconds keepUntil = 0; ///< When the claim expires and the key may be used again.
+    stored_response response; ///< Set when completed.
     bool operator==(const claim_state&) const = default;
 };
 
+/// The result of a change request, stored to answer retries of the same request.
 struct stored_change_result {
     std::string operatorName;
     std::string requestId;
     change_result result;
 };
 
+/// Who made an accepted change, and when.
 struct audit_record {
     unix_milliseconds at = 0;
     std::string operatorName;
@@ -33,57 +36,62 @@
     delta appliedDelta;
 };
 
+/// The last usage batch that was counted from one incarnation of an entry.
 struct usage_source {
-    std::string source;
+    std::string source; ///< Name of the entry.
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
 };
 
-/// A request that crashes targets, and until when it is refused.
+/// A poison request: one that crashes targets and is rejected until the verdict expires.
 struct verdict {
-    std::uint64_t fingerprint = 0;
-    std::uint32_t crashes = 0;
-    unix_milliseconds until = 0;
+    std::uint64_t fingerprint = 0; ///< Hash that identifies the request.
+    std::uint32_t crashes = 0; ///< Number of targets that it crashed.
+    unix_milliseconds until = 0; ///< When the verdict expires.
     auto operator<=>(const verdict&) const = default;
 };
 
+/// A named lease and its last holder.
 struct lease_state {
     std::string name;
     std::string holder;
-    unix_milliseconds until = 0;
-    std::uint64_t fence = 0;
+    unix_milliseconds until = 0; ///< When the lease expires unless it is renewed.
+    std::uint64_t fence = 0; ///< Fencing token of the holder.
     auto operator<=>(const lease_state&) const = default;
 };
 
-/// Everything that a snapshot holds.
+/// The complete control state, as stored in a snapshot.
 struct control_snapshot {
     std::uint64_t revision = 0;
     std::vector<record> records;
-    std::vector<delta> deltas;
-    std::vector<stored_change_result> results;
+    std::vector<delta> deltas; ///< The most recent ones, in order.
+    std::vector<stored_change_result> results; ///< Oldest first.
     std::vector<claim_state> claims;
     std::vector<usage_row> usage;
     std::vector<usage_source> usageSources;
     std::vector<verdict> verdicts;
     std::vector<audit_record> audit;
     std::vector<lease_state> leases;
-    std::uint64_t lastFence = 0;
+    std::uint64_t lastFence = 0; ///< The last fencing token issued.
     deployment_state deployment;
 };
 
-/// The state machine behind the replicated log. The same commands in the same order give the same state
-/// everywhere; the only time is that of the commands.
+/// The state machine behind the replicated log. It is deterministic: the same commands in the same order give
+/// the same state on every node, since it reads no clock but the time in each command.
 class control_state {
 public:
     control_state() = default;
     explicit control_state(control_snapshot snapshot);
 
+    /// Applies a committed command.
+    /// @return the result for the caller that submitted the command.
     command_result apply(const command& next);
+
     control_snapshot snapshot() const;
 
     const configuration& config() const { return m_configuration; }
     const deployment_state& deployment() const { return m_deployment; }
-    /// @return the deltas after a revision, or nothing when they are no longer kept.
+    /// @return the deltas after a revision, or nothing if they are no longer retained.
     std::optional<std::vector<delta>> deltasAfter(std::uint64_t revision) const;
     const std::map<claim_key, claim_state>& claims() const { return m_claims; }
     std::vector<usage_row> usage() const;
@@ -101,6 +109,7 @@
     command_result applyCommand(const adopt_document_command& next, unix_milliseconds at);
     command_result applyCommand(const set_in_service_command& next, unix_milliseconds at);
     command_result applyCommand(const name_weights_command& next, unix_milliseconds at);
+    // Erases claims and verdicts that have expired.
     void expire(unix_milliseconds at);
     void storeResult(const change_command& next, const change_result& result);
 
@@ -109,7 +118,7 @@
     configuration m_configuration;
     std::deque<delta> m_deltas;
     std::map<request_key, change_result> m_results;
-    std::deque<request_key> m_resultOrder;
+    std::deque<request_key> m_resultOrder; // oldest first, for eviction
     std::map<claim_key, claim_state> m_claims;
     std::multimap<unix_milliseconds, claim_key> m_claimExpiry;
     std::map<std::pair<std::string, std::string>, usage_row> m_usage;
--- a/packages/core/include/plumfold/core/plumfold_records.hpp
+++ b/packages/core/include/plumfold/core/plumfold_records.hpp
@@ -13,10 +13,10 @@
 /// A team that is charged for its usage.
 struct customer_record {
     std::string name;
-    std::string keyHash; ///< SHA-256 of the API key, lower-case hexadecimal.
-    std::uint32_t weight = 1; ///< Share in weighted fair queueing.
-    std::uint32_t maxInFlight = 0; ///< Running requests on one entry.
-    std::uint32_t maxQueued = 0; ///< Waiting requests on one entry.
+    std::string keyHash; ///< SHA-256 of the API key in lower-case hexadecimal.
+    std::uint32_t weight = 1; ///< Weight in weighted fair queueing.
+    std::uint32_t maxInFlight = 0; ///< Limit of running requests per entry.
+    std::uint32_t maxQueued = 0; ///< Limit of waiting requests per entry.
     std::vector<std::string> models; ///< Models and services that the customer may call.
     auto operator<=>(const customer_record&) const = default;
 };
@@ -29,45 +29,45 @@
     auto operator<=>(const model_record&) const = default;
 };
 
-/// An adapter on top of a model.
+/// An adapter of a base model.
 struct adapter_record {
     std::string name;
     std::string model;
     auto operator<=>(const adapter_record&) const = default;
 };
 
-/// The weight version in force for a model.
+/// The current weight version of a model.
 struct weight_version_record {
     std::string model;
     std::string version;
     auto operator<=>(const weight_version_record&) const = default;
 };
 
-/// A failure domain and whether it receives new work.
+/// Settings of a failure domain.
 struct failure_domain_record {
     std::string name;
-    bool inService = true;
-    std::uint32_t maxConcurrentLoads = 1; ///< Weight loads at the same time.
+    bool inService = true; ///< Whether it receives new requests.
+    std::uint32_t maxConcurrentLoads = 1; ///< Limit of weight loads that run at the same time.
     auto operator<=>(const failure_domain_record&) const = default;
 };
 
-/// What operators set about one target. Targets without a record are in service.
+/// Operator settings of one target. A target without a record is in service.
 struct target_record {
     std::string name;
     bool inService = true;
-    bool checksFencing = false; ///< Whether the target refuses orders with an old fencing number.
+    bool checksFencing = false; ///< Whether the target rejects orders with a stale fencing token.
     auto operator<=>(const target_record&) const = default;
 };
 
-/// A plain service that plumfold routes to.
+/// A plain request service (not an LLM) that plumfold routes to.
 struct service_record {
     std::string name;
-    bool repeatable = false; ///< Whether a call may run more than once.
+    bool repeatable = false; ///< Whether calls are idempotent and may be retried.
     std::uint32_t timeoutMs = 30000;
     auto operator<=>(const service_record&) const = default;
 };
 
-/// One record of the configuration. The order of alternatives is the numbering of record_kind.
+/// One record of the configuration. The alternatives are in the order of record_kind.
 using record = std::variant<customer_record, model_record, adapter_record, weight_version_record,
     failure_domain_record, target_record, service_record>;
 
@@ -81,20 +81,20 @@
     service,
 };
 
-/// Names one record of the configuration.
+/// Identifies one record of the configuration.
 struct record_key {
     record_kind kind = record_kind::customer;
     std::string name;
     auto operator<=>(const record_key&) const = default;
 };
 
-/// @return the key under which a record is kept.
+/// @return the key under which a record is stored.
 record_key keyOf(const record& value);
 
-/// @return the name of a kind as operators write it, for example "failure-domain".
+/// @return the name of a kind on the command line, for example "failure-domain".
 const char* recordKindName(record_kind kind);
 
-/// Puts or removes one record.
+/// A requested change: puts the record, or removes the record with the key.
 using change = std::variant<record, record_key>;
 
 /// An accepted change and the revision that it created.
--- a/packages/core/src/plumfold_configuration.cpp
+++ b/packages/core/src/plumfold_configuration.cpp
@@ -18,7 +18,7 @@
 };
 template <class... Ts> overloaded(Ts...) -> overloaded<Ts...>;
 
-// Appends fields in a form in which no two different lists of fields look alike.
+// Serializes fields unambiguously: different lists of fields never produce the same bytes.
 class field_writer {
 public:
     field_writer& operator<<(const std::string& text)
--- a/packages/core/src/plumfold_control_state.cpp
+++ b/packages/core/src/plumfold_control_state.cpp
@@ -151,7 +151,7 @@
         result.state = claim_status::conflict;
         return result;
     }
-    // The same attempt asks again because the first answer was lost. It has not dispatched yet.
+    // The same attempt retries because the first response was lost; it has not dispatched the request yet.
     if (claim.holder == next.holder && claim.state == claim_status::in_progress) {
         result.state = claim_status::granted;
         return result;
--- a/tests/core/plumfold_control_state_tests.cpp
+++ b/tests/core/plumfold_control_state_tests.cpp
@@ -36,7 +36,8 @@
 
 } // namespace
 
-TEST_CASE("Of two operators with equal revisions one wins and the other gets a conflict", "[control]")
+TEST_CASE(
+    "Of two changes based on the same revision one is accepted and the other gets a conflict", "[control]")
 {
     control_state state;
     auto first = changed(state, changeAt(0, "r1", model_record { "a", 1, 1 }, "anna"));
@@ -47,7 +48,7 @@
     CHECK(state.config().model("b") == nullptr);
 }
 
-TEST_CASE("A resent change gets its first answer again and is applied once", "[control]")
+TEST_CASE("A retried change gets its first result and is applied once", "[control]")
 {
     control_state state;
     auto command = changeAt(0, "r1", model_record { "a", 1, 1 });
@@ -55,21 +56,21 @@
     changed(state, changeAt(1, "r2", model_record { "b", 1, 1 }));
     CHECK(changed(state, command) == first);
     CHECK(state.config().revision() == 2);
-    SECTION("also when the first answer was a conflict")
+    SECTION("also when the first result was a conflict")
     {
         auto late = changeAt(0, "r3", model_record { "c", 1, 1 });
         auto conflict = changed(state, late);
         CHECK(conflict.outcome == change_outcome::conflict);
         CHECK(changed(state, late) == conflict);
     }
-    SECTION("also after a snapshot")
+    SECTION("also after a restore from a snapshot")
     {
         control_state restored(state.snapshot());
         CHECK(changed(restored, command) == first);
     }
 }
 
-TEST_CASE("The whole resulting configuration is checked before a change is accepted", "[control]")
+TEST_CASE("A change is accepted only if the resulting configuration is valid", "[control]")
 {
     control_state state;
     auto missing = changed(state, changeAt(0, "1", weight_version_record { "none", "v1" }));
@@ -84,38 +85,37 @@
     CHECK(state.config().revision() == 2);
 }
 
-TEST_CASE("A claim is granted once until it is known that the work did not run", "[control][at-most-once]")
+TEST_CASE("A claim is granted once unless the request is known not to have run", "[control][at-most-once]")
 {
     control_state state;
     CHECK(claimed(state, claimAt(1, "first")).state == claim_status::granted);
-    CHECK(
-        claimed(state, claimAt(2, "first")).state == claim_status::granted); // the answer was lost on its way
+    CHECK(claimed(state, claimAt(2, "first")).state == claim_status::granted); // retry after a lost response
     auto other = claimed(state, claimAt(3, "second"));
     CHECK(other.state == claim_status::in_progress);
     CHECK(other.retryAfterMs > 0);
-    SECTION("the stored answer is given to resends")
+    SECTION("a retry gets the stored response")
     {
         state.apply(finishAt(4, "first", claim_outcome::completed));
-        auto resend = claimed(state, claimAt(5, "second"));
-        CHECK(resend.state == claim_status::completed);
-        CHECK(resend.response.body == "done");
+        auto retry = claimed(state, claimAt(5, "second"));
+        CHECK(retry.state == claim_status::completed);
+        CHECK(retry.response.body == "done");
     }
-    SECTION("not run frees the key")
+    SECTION("the outcome not_run releases the key")
     {
         state.apply(finishAt(4, "first", claim_outcome::not_run));
         CHECK(claimed(state, claimAt(5, "second")).state == claim_status::granted);
     }
-    SECTION("only the holder may free the key")
+    SECTION("only the holder may release the key")
     {
         state.apply(finishAt(4, "second", claim_outcome::not_run));
         CHECK(claimed(state, claimAt(5, "second")).state == claim_status::in_progress);
     }
-    SECTION("a holder that vanished leaves an unknown outcome, never a second run")
+    SECTION("if the holder vanishes the outcome is unknown and the claim is not granted again")
     {
         CHECK(claimed(state, claimAt(5000, "second")).state == claim_status::unknown);
         CHECK(claimed(state, claimAt(3600'000, "third")).state == claim_status::unknown);
     }
-    SECTION("a completed claim cannot be freed afterwards")
+    SECTION("a completed claim cannot be released")
     {
         state.apply(finishAt(4, "first", claim_outcome::completed));
         state.apply(finishAt(5, "first", claim_outcome::not_run));
@@ -125,12 +125,12 @@
     {
         CHECK(claimed(state, claimAt(4, "second", 8)).state == claim_status::conflict);
     }
-    SECTION("another customer's key is another key")
+    SECTION("the same key of another customer is a different key")
     {
         command foreign { 4, claim_command { { "samvinna", "key" }, 7, "x", 100 } };
         CHECK(claimed(state, foreign).state == claim_status::granted);
     }
-    SECTION("a claim expires only after its stated time")
+    SECTION("a claim expires only after its retention time")
     {
         constexpr unix_milliseconds day = 24ull * 3600 * 1000;
         CHECK(claimed(state, claimAt(day, "second")).state == claim_status::unknown);
@@ -138,7 +138,7 @@
     }
 }
 
-TEST_CASE("A batch of usage that is sent again is counted once", "[control][usage]")
+TEST_CASE("A retried usage batch is counted once", "[control][usage]")
 {
     control_state state;
     command batch { 1, usage_command { "entry-1", 9, 1, { { "espuma", "base", 2, 10, 4, 6, 0 } } } };
@@ -151,9 +151,9 @@
     CHECK(restored.usage()[0].requests == 2);
 }
 
-TEST_CASE("Deltas lead from any kept revision to the present one", "[control][property]")
+TEST_CASE("Deltas update any retained revision to the current one", "[control][property]")
 {
-    rc::prop("deltas and snapshot agree", [] {
+    rc::prop("deltas and snapshot give the same configuration", [] {
         control_state state;
         auto steps = *rc::gen::inRange(1, 40);
         std::vector<configuration> history { state.config() };
