--- a/packages/core/include/plumfold/core/plumfold_raft_node.hpp
+++ b/packages/core/include/plumfold/core/plumfold_raft_node.hpp
@@ -10,63 +10,65 @@
 
 namespace plumfold::core {
 
-/// Timing and size limits of one node.
+/// Identity, timeouts and size limits of one node.
 struct raft_options {
     node_name node;
     std::string address;
-    milliseconds electionTimeout { 300 }; ///< A timeout is drawn between this and twice this.
+    milliseconds electionTimeout { 300 }; ///< Minimum; each timeout is drawn at random up to twice this.
     milliseconds heartbeatInterval { 60 };
     std::size_t maxEntriesPerAppend = 256;
     std::size_t maxBytesPerAppend = 1 << 20;
-    std::uint64_t seed = 1;
+    std::uint64_t seed = 1; ///< Of the random election timeouts.
 };
 
-/// What the caller must do, in this order: install the snapshot, truncate, append, write the hard state,
-/// sync, call raft_node::persisted(), send the messages, apply the committed entries.
+/// Output of a node that its caller must process in this order: install the snapshot, truncate the log,
+/// append the entries, write the hard state, sync, call raft_node::persisted(), send the messages, apply the
+/// committed entries.
 struct raft_output {
-    std::optional<raft_snapshot> install; ///< A snapshot from the leader that replaces state and log.
-    std::optional<std::uint64_t> truncateFrom; ///< Drop the persisted entries from this index on.
-    std::vector<log_entry> append;
-    std::optional<hard_state> hard;
-    std::vector<raft_message> messages;
-    std::vector<log_entry> committed;
+    std::optional<raft_snapshot> install; ///< Snapshot from the leader that replaces the state and the log.
+    std::optional<std::uint64_t> truncateFrom; ///< Remove the persisted entries from this index on.
+    std::vector<log_entry> append; ///< Entries to persist.
+    std::optional<hard_state> hard; ///< Hard state to persist, if it changed.
+    std::vector<raft_message> messages; ///< A join message without a receiver goes to all known control VMs.
+    std::vector<log_entry> committed; ///< Newly committed entries to apply.
     bool needsSync() const { return install || truncateFrom || !append.empty() || hard; }
     bool empty() const { return !needsSync() && messages.empty() && committed.empty(); }
 };
 
-/// One node of a replicated log, after the Raft paper: pre-vote, check-quorum, learners, one change of
-/// membership at a time, snapshots, leadership hand-over. Has no input or output of its own and reads no
-/// clock.
+/// One node of a Raft group, with pre-vote, check-quorum, learners, single-server membership changes,
+/// snapshots and leadership transfer. It performs no I/O and reads no clock: time and messages are passed in,
+/// and takeOutput() returns what to persist, send and apply.
 class raft_node {
 public:
-    /// @param state what the node's disk holds; a fresh disk has no members and cannot start an election.
+    /// @param state the persisted state. Without members, as in an empty data folder, the node cannot start
+    /// an election.
     raft_node(raft_options options, raft_disk_state state, instant now);
 
-    /// Moves time forward: elections, heartbeats, check-quorum.
+    /// Advances the time: starts elections, sends heartbeats and join messages, checks the quorum.
     void tick(instant now);
 
-    /// Handles a message of another node.
+    /// Handles a message from another node.
     void step(const raft_message& message, instant now);
 
-    /// Forms a new group with this node as its only voter. Operators call it once for a new installation.
-    /// @return false when this node already belongs to a group.
+    /// Creates a group with this node as its only voter; to be called once per installation.
+    /// @return false if this node already belongs to a group.
     bool bootstrap(instant now);
 
-    /// Appends a command to the log.
-    /// @return the index of its entry, or nothing when this node is not the leader.
+    /// Appends a command to the log and replicates it.
+    /// @return the index of its entry, or nothing if this node is not the leader.
     std::optional<std::uint64_t> propose(std::string command, instant now);
 
-    /// Gives leadership to the most advanced voter, for a planned stop.
-    /// @return false when there is no other voter or this node does not lead.
+    /// Transfers leadership to the voter with the highest match index, for a planned stop.
+    /// @return false if this node is not the leader or is the only voter.
     bool transferLeadership(instant now);
 
-    /// @return the work that has come up since the last call.
+    /// @return the output accumulated since the last call.
     raft_output takeOutput();
 
-    /// Tells that everything in the last work has been synced.
+    /// Reports that all of the last output has been synced, so that it counts towards the commit.
     void persisted(instant now);
 
-    /// Drops the log up to the snapshot's index.
+    /// Compacts the log: removes the entries up to the snapshot's index.
     void compact(const raft_snapshot& snapshot);
 
     raft_role role() const { return m_role; }
@@ -83,25 +85,27 @@
     std::uint64_t incarnation() const { return m_incarnation; }
     bool isMember() const;
 
-    /// @return whether the last change of members is not committed yet. A node that was taken in again counts
-    /// as repaired only after that.
+    /// @return whether the last membership change is not committed yet. A node that replaces a lost disk
+    /// counts as repaired only once it is.
     bool membershipChangePending() const;
 
-    /// @return whether this node leads and a quorum has answered within the election timeout, or follows a
-    /// leader that it has heard from within the election timeout.
+    /// @return whether this node leads and a quorum has responded within the election timeout, or follows a
+    /// leader from which it has received a message within the election timeout.
     bool hasActiveLeader(instant now) const;
 
-    /// @return whether what this node has applied was all that was committed within the election timeout: it
-    /// leads with a quorum, or votes and has just followed an append up to the leader's commit index.
+    /// @return whether this node's commit index was that of the leader within the last election timeout: it
+    /// leads with an active quorum, or is a voter whose log reached the leader's commit index by an append
+    /// within that time.
     bool isCaughtUp(instant now) const;
 
-    /// @return the term of the entry at an index, or 0 when it is not held.
+    /// @return the term of the entry at an index, or 0 if the entry is not in the log.
     std::uint64_t termAt(std::uint64_t index) const;
 
 private:
+    // The leader's view of one member's log.
     struct progress {
-        std::uint64_t matchIndex = 0;
-        std::uint64_t nextIndex = 1;
+        std::uint64_t matchIndex = 0; // highest index known to be replicated
+        std::uint64_t nextIndex = 1; // index of the next entry to send
         instant lastResponse {};
         instant lastSent {};
         bool snapshotInFlight = false;
@@ -148,15 +152,15 @@
     raft_snapshot m_snapshot;
     std::vector<log_entry> m_log; // entries after m_snapshot
     raft_membership m_members;
-    std::uint64_t m_membershipIndex = 0;
+    std::uint64_t m_membershipIndex = 0; // index of the entry that m_members came from
     raft_role m_role = raft_role::follower;
     node_name m_leader;
     std::uint64_t m_commitIndex = 0;
-    std::uint64_t m_lastDelivered = 0; // last committed index given to the caller
-    std::uint64_t m_persistedIndex = 0;
+    std::uint64_t m_lastDelivered = 0; // last committed index returned to the caller
+    std::uint64_t m_persistedIndex = 0; // last index synced to disk
     instant m_electionDeadline {};
     instant m_lastLeaderContact {};
-    std::optional<instant> m_caughtUpAt; // when an append was last followed up to the leader's commit index
+    std::optional<instant> m_caughtUpAt; // last append that brought the log to the leader's commit index
     instant m_nextHeartbeat {};
     instant m_nextJoin {};
     std::set<node_name> m_votes;
--- a/packages/core/src/plumfold_raft_messages.cpp
+++ b/packages/core/src/plumfold_raft_messages.cpp
@@ -1,4 +1,4 @@
-// What a node of the replicated log does with the messages of other nodes.
+// The message handlers of raft_node.
 
 #include "plumfold/core/plumfold_raft_node.hpp"
 
@@ -26,10 +26,12 @@
         return;
     }
     bool fromLeader = message.kind == message_kind::append || message.kind == message_kind::snapshot;
+    // Pre-votes carry the term of a possible election, which must not be adopted.
     bool carriesFutureTerm = message.kind == message_kind::pre_vote
         || (message.kind == message_kind::pre_vote_response && message.accepted);
     if (message.term > m_hard.term && !carriesFutureTerm) {
-        // A vote request while a live leader is known comes from a node that was cut off.
+        // Ignores vote requests while a leader is active: they come from a node that was partitioned away. A
+        // leadership transfer sets `accepted` to pass this check.
         bool disruptive = message.kind == message_kind::vote && !message.accepted && hasActiveLeader(now);
         if (disruptive)
             return;
@@ -191,14 +193,15 @@
     campaign(false, now);
     for (auto& request : m_output.messages) {
         if (request.kind == message_kind::vote)
-            request.accepted = true; // marks a hand-over, which a live leader does not hold up
+            request.accepted
+                = true; // marks a leadership transfer, so that an active leader does not block it
     }
 }
 
 void raft_node::onJoin(const raft_message& message, instant now)
 {
     if (m_role != raft_role::leader) {
-        // The joining node knows only some of the group.
+        // The joining node may not know the leader, so other members forward its request.
         if (m_leader.empty() || m_leader == message.from)
             return;
         raft_message forwarded = message;
--- a/packages/core/src/plumfold_raft_node.cpp
+++ b/packages/core/src/plumfold_raft_node.cpp
@@ -84,7 +84,7 @@
     m_snapshot = snapshot;
 }
 
-// ---------------------------------------------------------------- members
+// ---------------------------------------------------------------- membership
 
 bool raft_node::isMember() const
 {
@@ -125,7 +125,7 @@
 
 bool raft_node::changeMembership(raft_membership next, instant now)
 {
-    // A new leader may only change the members after it has committed an entry of its own term.
+    // Single-server changes are safe only after the leader has committed an entry of its own term.
     if (m_role != raft_role::leader || membershipChangePending() || termAt(m_commitIndex) != m_hard.term)
         return false;
     log_entry entry;
@@ -178,7 +178,7 @@
     return true;
 }
 
-// ---------------------------------------------------------------- time
+// ---------------------------------------------------------------- timers
 
 void raft_node::resetElectionTimer(instant now)
 {
@@ -201,7 +201,7 @@
         raft_message join;
         join.kind = message_kind::join;
         join.address = m_options.address;
-        send(std::move(join)); // the caller sends a message without a receiver to all known control VMs
+        send(std::move(join)); // no receiver: the caller sends it to all known control VMs
         return;
     }
     if (isVoter() && now >= m_electionDeadline)
@@ -322,7 +322,7 @@
     return true;
 }
 
-// ---------------------------------------------------------------- leader
+// ---------------------------------------------------------------- replication
 
 std::optional<std::uint64_t> raft_node::propose(std::string command, instant now)
 {
@@ -392,7 +392,7 @@
 void raft_node::advanceCommit()
 {
     for (std::uint64_t index = lastIndex(); index > m_commitIndex; --index) {
-        // Only entries of the present term are committed by counting.
+        // Only entries of the current term are committed by counting replicas (Raft paper, 5.4.2).
         if (termAt(index) != m_hard.term)
             return;
         std::set<node_name> replicas;
@@ -409,7 +409,7 @@
     }
 }
 
-// ---------------------------------------------------------------- work
+// ---------------------------------------------------------------- output
 
 void raft_node::send(raft_message message)
 {
--- a/tests/core/plumfold_raft_node_tests.cpp
+++ b/tests/core/plumfold_raft_node_tests.cpp
@@ -7,7 +7,7 @@
 using tests::fault_rates;
 using tests::raft_cluster;
 
-TEST_CASE("A formed group takes in the other nodes as voters", "[raft]")
+TEST_CASE("A bootstrapped group adds the other nodes as voters", "[raft]")
 {
     raft_cluster cluster(3, 1, {});
     CHECK(cluster.voters() == 3);
@@ -16,7 +16,7 @@
     CHECK(cluster.applied() == std::vector<std::string> { "one" });
 }
 
-TEST_CASE("A cut-off leader steps down and its proposals are never acknowledged", "[raft]")
+TEST_CASE("A partitioned leader steps down and its proposals are never acknowledged", "[raft]")
 {
     raft_cluster cluster(3, 2, {});
     std::string old = *cluster.leader();
@@ -33,7 +33,7 @@
     CHECK(cluster.applied() == std::vector<std::string> { "kept" });
 }
 
-TEST_CASE("A node that was cut off does not disturb the leader when it comes back", "[raft]")
+TEST_CASE("A node does not disrupt the leader when it reconnects after a partition", "[raft]")
 {
     raft_cluster cluster(3, 3, {});
     std::string leader = *cluster.leader();
@@ -47,8 +47,8 @@
     CHECK(*cluster.leader() == leader);
 }
 
-TEST_CASE("A lost disk comes back as a learner under a new identity, and a second loss after the repair is "
-          "survived",
+TEST_CASE("A node that lost its disk rejoins as a learner under a new incarnation, and a later loss of "
+          "another node is tolerated",
     "[raft]")
 {
     raft_cluster cluster(3, 4, {});
@@ -63,7 +63,7 @@
         CHECK_FALSE(cluster.node(victim).isMember());
         cluster.run(3000);
         CHECK(cluster.voters() == 3);
-        // Once the node is a voter again it counts as repaired: the others may fail.
+        // The node is a voter again, so the group tolerates the failure of another node.
         cluster.crash(leader);
         cluster.run(3000);
         REQUIRE(cluster.leader());
@@ -75,7 +75,7 @@
     CHECK(cluster.applied().size() == 22);
 }
 
-TEST_CASE("A node that lags behind the log's start catches up by a snapshot", "[raft]")
+TEST_CASE("A node whose next entry was compacted catches up by a snapshot", "[raft]")
 {
     raft_cluster cluster(3, 5, {});
     std::string leader = *cluster.leader();
@@ -92,7 +92,7 @@
     CHECK(cluster.node(victim).commitIndex() == cluster.node(*cluster.leader()).commitIndex());
 }
 
-TEST_CASE("Leadership is handed over for a planned stop without waiting for a timeout", "[raft]")
+TEST_CASE("A leadership transfer completes without an election timeout", "[raft]")
 {
     raft_cluster cluster(3, 6, {});
     std::string old = *cluster.leader();
@@ -103,9 +103,10 @@
     CHECK(*cluster.leader() != old);
 }
 
-TEST_CASE("Safety holds and acknowledged commands last under faults of every kind", "[raft][property]")
+TEST_CASE(
+    "The safety properties hold and acknowledged commands persist under injected faults", "[raft][property]")
 {
-    rc::prop("drop, duplicate, reorder, cut, crash, pause and lost disks", [] {
+    rc::prop("message drop, duplication and reordering, partitions, crashes, pauses and lost disks", [] {
         fault_rates faults;
         faults.drop = *rc::gen::inRange(0, 20);
         faults.duplicate = *rc::gen::inRange(0, 10);
--- a/tests/core/support/plumfold_raft_cluster.cpp
+++ b/tests/core/support/plumfold_raft_cluster.cpp
@@ -33,7 +33,7 @@
         run(static_cast<int>(tick.count()));
     std::swap(m_faults, none);
     if (voters() != m_nodes.size())
-        throw std::logic_error("the group was not formed");
+        throw std::logic_error("the initial group did not reach its full number of voters");
 }
 
 bool raft_cluster::chance(int percent)
@@ -124,7 +124,7 @@
 {
     simulated_node& each = m_nodes.at(name);
     if (entry.index != each.applied + 1)
-        throw std::logic_error("entries are applied out of order");
+        throw std::logic_error("an entry was applied out of order");
     each.applied = entry.index;
     auto [place, isNew] = m_committed.try_emplace(entry.index, entry);
     if (!(place->second == entry))
@@ -136,7 +136,7 @@
         m_acknowledged.insert(proposed->second.second);
 }
 
-// Does a node's work as a process would: persist, sync, then send and apply.
+// Processes a node's output in the order that raft_output requires: persist, sync, send, apply.
 void raft_cluster::processOutput(const std::string& name)
 {
     simulated_node& each = m_nodes.at(name);
@@ -153,9 +153,9 @@
             std::erase_if(
                 each.disk.entries, [&](const auto& entry) { return entry.index >= *output.truncateFrom; });
             for (const auto& [index, entry] : m_committed) {
-                bool held = index >= *output.truncateFrom && index <= each.applied;
-                if (held)
-                    throw std::logic_error("an applied entry is truncated");
+                bool applied = index >= *output.truncateFrom && index <= each.applied;
+                if (applied)
+                    throw std::logic_error("an applied entry was truncated");
             }
         }
         each.disk.entries.insert(each.disk.entries.end(), output.append.begin(), output.append.end());
@@ -224,7 +224,8 @@
         restart(name);
     else if (each.node && chance(m_faults.crash))
         crash(name);
-    // One lost disk at a time, and only when all the others are voters that hold what was acknowledged.
+    // A disk is lost only while all nodes are voters, so that a quorum still holds every acknowledged
+    // command.
     bool mayLoseDisk = voters() == m_nodes.size() && m_committed.size() > 0;
     auto leading = leader();
     if (mayLoseDisk && leading && *leading != name && chance(m_faults.loseDisk)) {
--- a/tests/core/support/plumfold_raft_cluster.hpp
+++ b/tests/core/support/plumfold_raft_cluster.hpp
@@ -13,44 +13,48 @@
 
 namespace plumfold::tests {
 
-/// How often the network and the disks of a cluster fail, in percent of the steps.
+/// Rates of the injected faults, in percent: per message for drop, duplicate and reorder, per step for the
+/// rest.
 struct fault_rates {
     int drop = 0;
     int duplicate = 0;
     int reorder = 0;
-    int partition = 0; ///< One-way cuts between two nodes.
+    int partition = 0; ///< Blocks one direction between two nodes, or clears all such blocks.
     int crash = 0;
-    int loseDisk = 0;
-    int pause = 0; ///< A node stands still while time goes on, as under SIGSTOP.
+    int loseDisk = 0; ///< Restarts a node with an empty disk.
+    int pause = 0; ///< Suspends a node while time advances, as SIGSTOP does.
 };
 
-/// Raft nodes over a network and disks in memory. Checks the safety properties at every step and throws
-/// std::logic_error when one is broken.
+/// Raft nodes with an in-memory network and in-memory disks. Checks the safety properties at every step and
+/// throws std::logic_error if one is violated.
 class raft_cluster {
 public:
     raft_cluster(int nodes, std::uint64_t seed, fault_rates faults);
 
-    /// Lets one random thing happen.
+    /// Injects random faults at their rates and runs one tick.
     void step();
-    /// Ends all faults and lets the cluster settle.
+    /// Stops all faults and runs until the cluster is stable.
     void heal();
 
-    /// Proposes a command on a node that leads, if any.
+    /// Proposes a command to a running leader.
+    /// @return false if there is none.
     bool proposeToLeader(const std::string& command);
     const std::vector<std::string>& applied() const { return m_applied; }
     std::size_t acknowledged() const { return m_acknowledged.size(); }
     /// @return whether every acknowledged command has been applied.
     bool allAcknowledgedApplied() const;
     std::uint64_t elections() const { return m_leaders.size(); }
+    /// @return the leader with the highest term, if any.
     std::optional<std::string> leader() const;
     void crash(const std::string& name);
     void restart(const std::string& name, bool diskLost = false);
     void run(int milliseconds);
-    /// @return the voters under their present identity, as the leader sees them.
+    /// @return the number of voters under their current incarnation, as known to the leader.
     std::size_t voters() const;
     core::raft_node& node(const std::string& name) { return *m_nodes.at(name).node; }
     bool isUp(const std::string& name) const { return m_nodes.at(name).node != nullptr; }
     void compactAll();
+    /// Blocks all messages from and to a node.
     void isolate(const std::string& name);
     void reconnectAll() { m_blockedLinks.clear(); }
 
@@ -75,7 +79,7 @@
     core::instant m_now {};
     std::map<std::string, simulated_node> m_nodes;
     std::deque<core::raft_message> m_network;
-    std::set<std::pair<std::string, std::string>> m_blockedLinks;
+    std::set<std::pair<std::string, std::string>> m_blockedLinks; // sender, receiver
     std::map<std::uint64_t, std::string> m_leaders; // by term
     std::map<std::uint64_t, core::log_entry> m_committed;
     std::vector<std::string> m_applied;
