--- a/spec/blocks.pml
+++ b/spec/blocks.pml
@@ -1,13 +1,13 @@
-/* KV blocks: one slot of memory, a writer, a reader and the store that frees and reuses the slot. A lease carries the
- * block's number, which is never used twice; the reader may stand still beyond its lease.
+/* KV blocks: one memory slot, a writer, a reader, and the store that frees and reuses the slot. A lease carries the
+ * block number, which is never reused. The reader may pause beyond the end of its lease.
  *
- * Checked: a read that is accepted returns the bytes of the block that was leased, whole.
- * BREAK_NUMBER: the store checks the slot in place of the block's number.
+ * Property: an accepted read returns the complete bytes of the leased block.
+ * BREAK_NUMBER: the store checks the slot instead of the block number.
  * BREAK_SEAL: blocks are leased before they are sealed.
  */
 #define MAXBLOCK 3
 byte block = 1;         /* number of the block in the slot */
-byte bytes;             /* whose bytes the slot holds: a block's number, or 0 while they are being written */
+byte bytes;             /* number of the block whose bytes are in the slot, or 0 while they are being written */
 bool sealed, leased;
 
 proctype writer()
@@ -42,7 +42,7 @@
     od
 }
 
-/* Ends leases that ran out and gives the slot to the next block. */
+/* Expires leases and reuses the slot for the next block. */
 proctype store()
 {
     do
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -1,9 +1,10 @@
-/* Requests that run at most once: two callers' attempts with one key, through entries that may die at any step, a target
- * that may lose the answer, and control that may answer late.
+/* At-most-once requests: three attempts with the same idempotency key. The entry may crash at any step, and the
+ * responses of the target and of control may be lost or late.
  *
- * Checked: the target executes at most once; "not run" is told only when it did not.
+ * Properties: the target executes the request at most once; an attempt is reported as not run only if it was not
+ * executed.
  * BREAK_CLAIM: an attempt dispatches without waiting for its claim.
- * BREAK_RELEASE: an attempt frees the key after bytes reached the target.
+ * BREAK_RELEASE: an attempt releases the key after bytes reached the target.
  */
 mtype = { none, held, done, lost };
 mtype claim = none;
@@ -13,33 +14,33 @@
 {
     bool mine = false;
     bool sent = false;
-    /* the claim: the answer may be lost although it was taken */
+    /* the claim: its response may be lost although it was granted */
     if
     :: atomic { claim == none -> claim = held; holder = id; mine = true }
-    :: atomic { claim == none -> claim = held; holder = id }      /* answer lost */
+    :: atomic { claim == none -> claim = held; holder = id }      /* response lost */
 #ifdef BREAK_CLAIM
     :: mine = true
 #endif
-    :: claim != none                                              /* in progress, done or unknown: told to the caller */
+    :: claim != none                                              /* in progress, done or unknown */
     fi;
     if
     :: mine ->
         if
-        :: goto ended                                             /* the entry dies before it dispatches */
-        :: atomic { executions++; sent = true }                   /* the target runs it */
+        :: goto ended                                             /* the entry crashes before it dispatches */
+        :: atomic { executions++; sent = true }                   /* the target executes the request */
         :: atomic { holder == id && claim == held -> claim = none }; goto ended   /* no byte reached the target */
         fi;
         assert(executions <= 1);
         if
-        :: goto ended                                             /* the entry dies: the claim stays held */
+        :: goto ended                                             /* the entry crashes: the claim stays held */
         :: atomic { holder == id && claim == held -> claim = done }
-        :: atomic { holder == id && claim == held -> claim = lost }  /* answer lost */
+        :: atomic { holder == id && claim == held -> claim = lost }  /* response lost */
 #ifdef BREAK_RELEASE
         :: atomic { holder == id && claim == held -> claim = none }
 #endif
         fi
     :: !mine && holder == id && claim == held && !sent ->
-        /* gives back what it may hold: nothing was dispatched under it */
+        /* releases a claim that may have been granted: nothing was dispatched under it */
         atomic { holder == id && claim == held -> claim = none }
     :: else
     fi;
--- a/spec/orders.pml
+++ b/spec/orders.pml
@@ -1,9 +1,8 @@
-/* Orders to a target that ignores fencing numbers: two issuers, one lease, clocks as a shared count of ticks. An issuer
- * may stand still between any two steps, as under SIGSTOP, but reads its clock right before it sends.
+/* Orders to a target that does not check fencing tokens: two issuers, one lease and a shared clock. An issuer may pause
+ * between any two steps, as under SIGSTOP, but reads the clock immediately before it sends.
  *
- * Checked: the target never obeys an issuer after one that took the lease later, unless the target checks numbers and
- * refuses.
- * BREAK_MARGIN: the holder's own end of the lease is not earlier than control's.
+ * Property: the target never executes an order of an issuer after one of an issuer that acquired the lease later.
+ * BREAK_MARGIN: the holder's lease does not end earlier than control's.
  */
 #define LEASE 4
 #ifdef BREAK_MARGIN
@@ -11,12 +10,12 @@
 #define SLACK 2
 #else
 #define MARGIN 2
-#define SLACK 2     /* a call to a target is on its way for less than the margin */
+#define SLACK 2     /* ticks for which an order may be in transit; at most the margin */
 #endif
 #define MAXTIME 12
 
 byte now, leaseUntil, leaseHolder, fence;
-byte obeyed;            /* highest number that the target has obeyed */
+byte obeyed;            /* highest fencing token of an executed order */
 
 proctype issuer(byte id)
 {
@@ -26,7 +25,7 @@
         if :: leaseHolder != id || now >= leaseUntil -> fence++ :: else fi;
         leaseHolder = id; leaseUntil = now + LEASE; mine = fence; until = now + LEASE - MARGIN }
     :: atomic { mine > 0 && now < until -> sentAt = now };
-        /* the order is on its way */
+        /* the order is in transit */
         atomic { (now - sentAt <= SLACK) ->
             assert(mine >= obeyed);
             obeyed = mine }
@@ -34,7 +33,7 @@
     od
 }
 
-/* Time goes on, but an order that is on its way arrives or is lost within the slack: calls have a time limit. */
+/* Advances the time. An order in transit arrives within SLACK ticks or is lost, since calls have a timeout. */
 proctype clock()
 {
     do
--- a/spec/raft.pml
+++ b/spec/raft.pml
@@ -1,24 +1,26 @@
-/* Elections, appends, crashes with what was synced, and a lost disk that comes back under a new identity.
+/* Raft elections, replication, crashes that keep the synced state, and a lost disk that rejoins as a new incarnation.
  *
- * Three nodes, bounded terms and log. Messages are modelled as atomic exchanges between two nodes that may or may not
- * happen, which covers loss, delay up to the next step and one-way cuts. A node answers only after it has synced.
+ * Three nodes, with bounded terms and log. A message exchange between two nodes is one atomic step that may or may not
+ * happen, which models message loss, delay up to the next step and one-way partitions. A node responds only after it
+ * has synced its state.
  *
- * Checked: no two leaders in one term, and a committed entry is in the log of every later leader.
- * BREAK_LOG: votes are given whatever the candidate's log holds.
- * BREAK_SYNC: a vote is answered before it is synced, and a crash forgets it.
- * BREAK_IDENTITY: a lost disk votes as its old self.
+ * Properties: at most one leader per term (election safety), and every new leader holds all committed entries (leader
+ * completeness).
+ * BREAK_LOG: votes are granted regardless of the candidate's log.
+ * BREAK_SYNC: a vote is granted before it is synced and is lost in a crash.
+ * BREAK_IDENTITY: a node that lost its disk votes under its previous incarnation.
  */
 #define N 3
 #define MAXTERM 3
 #define MAXLOG 2
 #define QUORUM(x) ((x) >= 2)
 
-byte term[N], voted[N];          /* voted: candidate + 1, 0 for nobody */
-bool leader[N], member[N];       /* member: under its present identity */
+byte term[N], voted[N];          /* voted: candidate + 1, or 0 for none */
+bool leader[N], member[N];       /* member: a voter under its current incarnation */
 byte length[N];
 byte entry[N * MAXLOG];          /* term of each log entry */
 byte votes[N];
-byte leaderOf[MAXTERM + 1];      /* node + 1 that led in a term */
+byte leaderOf[MAXTERM + 1];      /* node + 1 that was elected in the term, or 0 */
 byte committed, committedTerm;   /* index of the last committed entry and its term */
 bool diskLost;
 
@@ -77,12 +79,12 @@
     fi
 }
 
-/* The leader sends its whole log; the follower takes it and syncs; a quorum of holders commits. */
+/* The leader sends its whole log; the follower replaces its own and syncs; an entry on a quorum is committed. */
 inline replicate(l, f) {
     if
     :: leader[l] && l != f && term[f] <= term[l] && length[l] > 0 ->
         if :: term[f] < term[l] -> stepDown(f, term[l]) :: else fi;
-        votes[f] = 0;       /* a candidate that hears the leader of its term gives up */
+        votes[f] = 0;       /* a candidate steps down when it receives from the leader of its term */
         i = 0;
         do
         :: i < length[l] -> AT(f, i) = AT(l, i); i++
@@ -102,8 +104,8 @@
     fi
 }
 
-/* A node that lost its disk becomes a voter again only by entries that the other voter has acknowledged in the leader's
- * term, and after it holds the leader's log. */
+/* A node that lost its disk becomes a voter again only when it holds the leader's log and the other voter has
+ * acknowledged the leader's entries in the leader's term. */
 inline readmit(l, f) {
     if
     :: leader[l] && !member[f] && l != f && member[3 - l - f] && term[3 - l - f] == term[l] && term[f] == term[l] && LASTTERM(l) == term[l] && SAMELOG(l, f) && SAMELOG(l, 3 - l - f) -> member[f] = true
