--- a/benchmarks/plumfold_bench_decisions.cpp
+++ b/benchmarks/plumfold_bench_decisions.cpp
@@ -75,7 +75,7 @@
     auto config = makeConfiguration(2000);
     bool fits = false;
     subject.onConfiguration({ config.revision(), config.digest(), config.records(), {} }, fits, now);
-    subject.onConfirmed(now);
+    subject.onConfigurationConfirmed(now);
     for (std::uint64_t sequence = 1; sequence <= 2; ++sequence) {
         for (int number = 0; number < targets; ++number)
             subject.onReport(makeReport(number, sequence, 5), now, now);
@@ -105,8 +105,8 @@
         subject.submit(spec, now);
         attempt_report report;
         report.firstToken = milliseconds(100);
-        report.held = milliseconds(500);
-        subject.finished(spec.number, report, now);
+        report.duration = milliseconds(500);
+        subject.onFinished(spec.number, report, now);
     }
     double perDecision = microsecondsSince(start, decisions);
     start = clock_type::now();
--- a/benchmarks/plumfold_bench_policy.cpp
+++ b/benchmarks/plumfold_bench_policy.cpp
@@ -324,9 +324,9 @@
     {
         attempt_report report;
         report.firstToken = milliseconds(static_cast<std::int64_t>(firstMs));
-        report.held = milliseconds(static_cast<std::int64_t>(heldMs));
+        report.duration = milliseconds(static_cast<std::int64_t>(heldMs));
         report.cachedTokens = m_cached[request];
-        perform(m_dispatcher.finished(request + 1, report, now()));
+        perform(m_dispatcher.onFinished(request + 1, report, now()));
     }
 
     void tick() override
@@ -339,7 +339,7 @@
             m_config.apply(record(failure_domain_record { "d0", !out, 3 }));
             configure();
         }
-        m_dispatcher.onConfirmed(now());
+        m_dispatcher.onConfigurationConfirmed(now());
         perform(m_dispatcher.tick(now()));
     }
 
--- a/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
@@ -51,7 +51,7 @@
 struct attempt_report {
     attempt_outcome outcome = attempt_outcome::succeeded;
     milliseconds firstToken { 0 };
-    milliseconds held { 0 };
+    milliseconds duration { 0 };
     std::uint32_t cachedTokens = 0; ///< As the target reported them.
     bool answerStarted = false; ///< Whether the caller has been sent a token.
 };
@@ -64,10 +64,10 @@
     request_number request;
     error_info error;
 };
-struct ask_permit_action {
+struct acquire_permit_action {
     request_number request;
     std::string owner;
-    permit_request ask;
+    permit_request permitRequest;
 };
 struct release_permit_action {
     std::string owner;
@@ -84,21 +84,23 @@
     std::uint32_t crashes;
 };
 
-using dispatch_action = std::variant<start_action, refuse_action, ask_permit_action, release_permit_action,
-    renew_permits_action, condemn_action>;
+using dispatch_action = std::variant<start_action, refuse_action, acquire_permit_action,
+    release_permit_action, renew_permits_action, condemn_action>;
 
 /// Limits of one entry.
 struct dispatch_options {
     std::string entry;
     std::string failureDomain;
-    milliseconds viewBound {
+    milliseconds maxViewAge {
         3000
     }; ///< Age of the configuration up to which other failure domains may be used.
     milliseconds targetExpiry { 3000 };
     milliseconds entryExpiry { 1500 };
     milliseconds permitLease { 2000 };
     milliseconds maxQueueWait { 2000 }; ///< Requests that would wait longer are refused at once.
-    milliseconds firstTokenBound { 890 }; ///< Requests that would wait and then miss it are refused at once.
+    milliseconds maxTimeToFirstToken {
+        890
+    }; ///< Requests that would wait and then miss it are refused at once.
     std::size_t maxWaiting = 512;
     std::size_t maxKnownBlocks = 1'000'000;
     double retryShare = 0.1;
--- a/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
@@ -28,14 +28,14 @@
     actions submit(const request_spec& spec, instant now);
 
     /// The owner of a target's permits has answered.
-    actions permitAnswered(
+    actions onPermitAnswer(
         request_number request, const std::string& owner, const permit_answer& answer, instant now);
 
     /// The owner could not be asked.
-    actions permitUnanswered(request_number request, instant now);
+    actions onOwnerUnreachable(request_number request, instant now);
 
     /// A started request has ended; its permit goes back.
-    actions finished(request_number request, const attempt_report& report, instant now);
+    actions onFinished(request_number request, const attempt_report& report, instant now);
 
     /// A started request's attempt has failed and the caller still waits. Either starts it again or refuses
     /// it.
@@ -48,10 +48,10 @@
 
     actions onReport(const target_report& report, instant sentAt, instant now);
     void onCacheEvents(const cache_events& events) { m_prefixes.apply(events); }
-    actions onConfiguration(const configuration_update& update, bool& fits, instant now);
-    void onConfirmed(instant now) { m_view.confirmed(now); }
-    void onEntryHeard(const entry_peer_state& peer) { m_entries.onHeard(peer); }
-    void onSuspect(const suspect_state& state, instant now) { m_suspects.learn(state, now); }
+    actions onConfiguration(const configuration_update& update, bool& applied, instant now);
+    void onConfigurationConfirmed(instant now) { m_view.confirmed(now); }
+    void onPeerState(const entry_peer_state& peer) { m_entries.onHeard(peer); }
+    void onSuspect(const suspect_state& state, instant now) { m_suspects.merge(state, now); }
     void onVerdictWithdrawn(std::uint64_t fingerprint) { m_suspects.withdraw(fingerprint); }
     void onTransferReserved(std::uint64_t bytes, instant now) { m_link.reserve(bytes, now); }
     bool allowsBackgroundTransfer(instant now) const { return m_link.allowsBackground(now); }
@@ -59,9 +59,9 @@
     void setLeaving() { m_entries.setLeaving(); }
 
     /// Another entry asks for a permit of a target that this entry owns.
-    permit_answer acquireFor(const permit_request& request, instant now);
-    actions releaseFor(permit_id permit, const attempt_measure& measure, instant now);
-    void renewFor(const std::string& holder, const std::vector<permit_id>& permits, instant now);
+    permit_answer acquireForPeer(const permit_request& request, instant now);
+    actions releaseForPeer(permit_id permit, const attempt_measure& measure, instant now);
+    void renewForPeer(const std::string& holder, const std::vector<permit_id>& permits, instant now);
 
     const configuration_view& view() const { return m_view; }
     const std::string& failureDomain() const { return m_options.failureDomain; }
@@ -72,37 +72,39 @@
     std::size_t running() const { return m_running; }
 
 private:
-    enum class stage { waiting, asking, running };
+    enum class request_stage { waiting, awaiting_permit, running };
     struct pending_request {
         request_spec spec;
-        stage where = stage::waiting;
+        request_stage stage = request_stage::waiting;
         dispatch_plan plan;
-        std::string asked; // target whose owner is being asked
+        std::string permitTarget; // target whose owner is being asked
         std::set<std::string> excluded; // targets that failed this request
         bool retried = false;
     };
-    struct work_class { // requests that compete for the same targets
+    struct request_class { // requests that compete for the same targets
         fair_queue queue;
         wait_predictor predictor;
-        instant lastEligible {};
+        instant lastEligibleAt {};
     };
 
     static std::string classOf(const request_spec& spec);
     waiting_request toWaiting(const request_spec& spec) const;
     std::optional<error_info> admissionError(const request_spec& spec, instant now);
-    void enqueue(const request_spec& spec, work_class& group, instant now);
-    void pump(instant now, actions& out);
-    void pumpClass(work_class& group, instant now, actions& out);
-    bool tryStart(pending_request& request, work_class& group, instant now, actions& out, bool& anyEligible);
-    void startOn(pending_request& request, const permit_answer& answer, instant now, actions& out);
-    void giveBack(pending_request& request, instant now);
+    void enqueue(const request_spec& spec, request_class& requestClass, instant now);
+    void dispatchWaiting(instant now, actions& out);
+    void dispatchClass(request_class& requestClass, instant now, actions& out);
+    bool tryStart(
+        pending_request& request, request_class& requestClass, instant now, actions& out, bool& anyEligible);
+    void startWithPermit(pending_request& request, const permit_answer& answer, instant now, actions& out);
+    void requeue(pending_request& request, instant now);
     void refuse(request_number request, error_info error, actions& out);
-    milliseconds expectedOf(const pending_request& request, const attempt_report& report) const;
+    milliseconds expectedFirstTokenOf(const pending_request& request, const attempt_report& report) const;
     void release(const pending_request& request, const attempt_report& report, actions& out);
-    void learnFrom(const pending_request& request, const attempt_report& report, instant now, actions& out);
+    void recordOutcome(
+        const pending_request& request, const attempt_report& report, instant now, actions& out);
     void setRunning(pending_request& request, bool running);
     std::set<std::string> customersAtLimit() const;
-    void refuseOverdue(instant now, actions& out);
+    void refuseExpired(instant now, actions& out);
     void renewPermits(instant now, actions& out);
 
     dispatch_options m_options;
@@ -116,10 +118,10 @@
     retry_budget m_retries;
     suspect_registry m_suspects;
     router m_router;
-    std::map<std::string, work_class> m_classes;
+    std::map<std::string, request_class> m_classes;
     std::map<request_number, pending_request> m_requests;
-    std::map<std::string, std::uint32_t> m_runningOf; // by customer
-    std::map<std::string, instant> m_fullUntil; // by target, from refused permits
+    std::map<std::string, std::uint32_t> m_runningByCustomer; // by customer
+    std::map<std::string, instant> m_permitBackOffUntil; // by target, from refused permits
     std::size_t m_running = 0;
     instant m_nextRenewal {};
 };
--- a/packages/core/include/plumfold/core/plumfold_event_cursor.hpp
+++ b/packages/core/include/plumfold/core/plumfold_event_cursor.hpp
@@ -20,15 +20,15 @@
 
     /// Starts to take another run's bytes, which go on after the last whole event. What is held of the former
     /// run's unfinished event is dropped.
-    void beginRun() { m_rest.clear(); }
+    void startAttempt() { m_partialEvent.clear(); }
 
     /// @return the bytes of an event that is not whole, which are not held any more.
-    std::string takeRest() { return std::exchange(m_rest, {}); }
+    std::string takePartialEvent() { return std::exchange(m_partialEvent, {}); }
 
 private:
-    void readIds(std::string_view events);
+    void parseEventIds(std::string_view events);
 
-    std::string m_rest;
+    std::string m_partialEvent;
     std::optional<std::uint64_t> m_lastId;
 };
 
--- a/packages/core/include/plumfold/core/plumfold_fair_queue.hpp
+++ b/packages/core/include/plumfold/core/plumfold_fair_queue.hpp
@@ -38,7 +38,7 @@
     void start(request_number request);
 
     /// Puts a started request back because no target took it; the charge is undone.
-    void giveBack(const waiting_request& request);
+    void requeue(const waiting_request& request);
 
     /// Takes a request out without a charge.
     /// @return whether it was queued.
@@ -58,7 +58,7 @@
         std::deque<waiting_request> requests; // by priority, then deadline
     };
 
-    std::optional<waiting_request> take(request_number request);
+    std::optional<waiting_request> extract(request_number request);
     void setIdle(const std::string& customer, double finish);
 
     double m_virtualTime = 0;
--- a/packages/core/include/plumfold/core/plumfold_permit_ledger.hpp
+++ b/packages/core/include/plumfold/core/plumfold_permit_ledger.hpp
@@ -46,7 +46,7 @@
     /// Ends the permits that were not renewed and forgets the targets that have been silent for long.
     void expire(instant now);
 
-    void forget(const std::string& target);
+    void remove(const std::string& target);
 
     /// @return the present limit of a target, or 0 when the target is unknown.
     std::uint32_t limitOf(const std::string& target) const;
@@ -76,8 +76,8 @@
         std::deque<waiting_holder> waiting; // in the order of their first refusal
     };
 
-    std::uint32_t waitingBefore(owned_target& target, const std::string& holder, instant now);
-    void drop(std::map<permit_id, held_permit>::iterator permit);
+    std::uint32_t holdersAhead(owned_target& target, const std::string& holder, instant now);
+    void erasePermit(std::map<permit_id, held_permit>::iterator permit);
 
     milliseconds m_lease;
     permit_id m_next;
--- a/packages/core/include/plumfold/core/plumfold_report_relay.hpp
+++ b/packages/core/include/plumfold/core/plumfold_report_relay.hpp
@@ -18,7 +18,7 @@
     report_relay(bool sameDomain, milliseconds refresh);
 
     /// @return whether the report is due for the peer; it counts as sent then.
-    bool take(const target_report& report, instant now);
+    bool markSentIfDue(const target_report& report, instant now);
 
     /// The peer may have missed what was sent.
     void reset() { m_sent.clear(); }
@@ -29,7 +29,7 @@
         instant at {};
     };
 
-    bool hasNews(const target_report& before, const target_report& now) const;
+    bool needsImmediateRelay(const target_report& before, const target_report& now) const;
 
     bool m_sameDomain;
     milliseconds m_refresh;
--- a/packages/core/include/plumfold/core/plumfold_suspect_registry.hpp
+++ b/packages/core/include/plumfold/core/plumfold_suspect_registry.hpp
@@ -29,10 +29,10 @@
 /// cleared.
 class suspect_registry {
 public:
-    /// @param keep how long a suspicion lasts without news.
-    explicit suspect_registry(milliseconds keep);
+    /// @param maxAge how long a suspicion lasts without news.
+    explicit suspect_registry(milliseconds maxAge);
 
-    suspicion of(std::uint64_t fingerprint, instant now) const;
+    suspicion suspicionOf(std::uint64_t fingerprint, instant now) const;
 
     /// Counts a crash under a request.
     /// @return the suspicion from now on.
@@ -42,7 +42,7 @@
     void onSuccess(std::uint64_t fingerprint);
 
     /// Takes in what another entry or control knows.
-    void learn(const suspect_state& state, instant now);
+    void merge(const suspect_state& state, instant now);
 
     void withdraw(std::uint64_t fingerprint) { m_suspects.erase(fingerprint); }
     void expire(instant now);
@@ -56,7 +56,7 @@
         instant until {};
     };
 
-    milliseconds m_keep;
+    milliseconds m_maxAge;
     std::map<std::uint64_t, suspect> m_suspects;
 };
 
--- a/packages/core/src/plumfold_dispatcher.cpp
+++ b/packages/core/src/plumfold_dispatcher.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 // A request may wait this long for a target of its kind to appear.
-constexpr milliseconds noTargetPatience { 500 };
-constexpr milliseconds avoidAfterFailure { 1000 };
-constexpr milliseconds avoidAfterRefusal { 100 };
-constexpr milliseconds suspicionKeep { 600'000 };
+constexpr milliseconds noTargetTimeout { 500 };
+constexpr milliseconds backOffAfterFailure { 1000 };
+constexpr milliseconds backOffAfterRefusal { 100 };
+constexpr milliseconds suspicionMaxAge { 600'000 };
 constexpr milliseconds retryAfterNoTarget { 1000 };
 constexpr milliseconds retryAfterShort { 500 };
-constexpr milliseconds ownerUnreachablePause { 200 };
+constexpr milliseconds ownerUnreachableBackOff { 200 };
 
 run_state runStateAfter(attempt_outcome outcome)
 {
-    bool untouched = outcome == attempt_outcome::refused || outcome == attempt_outcome::not_reached;
-    return untouched ? run_state::not_run : run_state::unknown;
+    bool neverRan = outcome == attempt_outcome::refused || outcome == attempt_outcome::not_reached;
+    return neverRan ? run_state::not_run : run_state::unknown;
 }
 
 } // namespace
@@ -31,7 +31,7 @@
     , m_prefixes(m_options.maxKnownBlocks)
     , m_link(m_options.linkBytesPerSecond)
     , m_retries(m_options.retryShare, m_options.retryReserve)
-    , m_suspects(suspicionKeep)
+    , m_suspects(suspicionMaxAge)
     , m_router(m_options)
 {
 }
@@ -59,8 +59,8 @@
 std::size_t dispatcher::waiting() const
 {
     std::size_t count = 0;
-    for (const auto& [name, group] : m_classes)
-        count += group.queue.size();
+    for (const auto& [name, requestClass] : m_classes)
+        count += requestClass.queue.size();
     return count;
 }
 
@@ -68,7 +68,7 @@
 
 std::optional<error_info> dispatcher::admissionError(const request_spec& spec, instant now)
 {
-    if (m_suspects.of(spec.fingerprint, now) == suspicion::condemned) {
+    if (m_suspects.suspicionOf(spec.fingerprint, now) == suspicion::condemned) {
         return makeError(error_kind::crashes_targets, run_state::not_run,
             "this request has crashed the targets that ran it: change it, or ask an operator to withdraw the "
             "verdict");
@@ -76,16 +76,16 @@
     if (waiting() >= m_options.maxWaiting)
         return makeError(error_kind::overloaded, run_state::not_run,
             "too many requests wait: come back later", m_options.maxQueueWait);
-    auto& group = m_classes[classOf(spec)];
+    auto& requestClass = m_classes[classOf(spec)];
     const auto* customer = m_view.config().customer(spec.customer);
-    if (customer && group.queue.sizeOf(spec.customer) >= std::max(1u, customer->maxQueued))
+    if (customer && requestClass.queue.sizeOf(spec.customer) >= std::max(1u, customer->maxQueued))
         return makeError(error_kind::customer_limit, run_state::not_run,
             "too many requests of this customer wait: come back later or ask for a higher limit",
             retryAfterShort);
-    milliseconds wait = group.predictor.wait(group.queue.waitingCost(), now);
+    milliseconds wait = requestClass.predictor.wait(requestClass.queue.waitingCost(), now);
     // Taking more than can be answered in time would make everybody late.
-    milliseconds afterStart = group.predictor.firstTokenAfterStart();
-    bool late = wait > milliseconds(0) && wait + afterStart > m_options.firstTokenBound;
+    milliseconds afterStart = requestClass.predictor.firstTokenAfterStart();
+    bool late = wait > milliseconds(0) && wait + afterStart > m_options.maxTimeToFirstToken;
     if (wait > m_options.maxQueueWait || (late && !spec.model.empty()))
         return makeError(error_kind::overloaded, run_state::not_run,
             "the wait for a target would be too long: come back later", wait);
@@ -108,30 +108,30 @@
     pending_request request;
     request.spec = spec;
     m_requests[spec.number] = std::move(request);
-    auto& group = m_classes[classOf(spec)];
-    enqueue(spec, group, now);
-    pump(now, out);
+    auto& requestClass = m_classes[classOf(spec)];
+    enqueue(spec, requestClass, now);
+    dispatchWaiting(now, out);
     return out;
 }
 
-void dispatcher::enqueue(const request_spec& spec, work_class& group, instant now)
+void dispatcher::enqueue(const request_spec& spec, request_class& requestClass, instant now)
 {
-    if (group.queue.size() == 0) {
-        group.lastEligible = now;
-        group.predictor.onBusy(now);
+    if (requestClass.queue.size() == 0) {
+        requestClass.lastEligibleAt = now;
+        requestClass.predictor.onBusy(now);
     }
-    group.queue.push(toWaiting(spec));
+    requestClass.queue.push(toWaiting(spec));
 }
 
 dispatcher::actions dispatcher::cancel(request_number request, instant now)
 {
     actions out;
     auto found = m_requests.find(request);
-    if (found == m_requests.end() || found->second.where == stage::running)
+    if (found == m_requests.end() || found->second.stage == request_stage::running)
         return out;
     m_classes[classOf(found->second.spec)].queue.remove(request);
     m_requests.erase(found);
-    pump(now, out);
+    dispatchWaiting(now, out);
     return out;
 }
 
@@ -152,7 +152,7 @@
 std::set<std::string> dispatcher::customersAtLimit() const
 {
     std::set<std::string> names;
-    for (const auto& [name, running] : m_runningOf) {
+    for (const auto& [name, running] : m_runningByCustomer) {
         const auto* customer = m_view.config().customer(name);
         if (customer && running >= customer->maxInFlight)
             names.insert(name);
@@ -160,31 +160,31 @@
     return names;
 }
 
-void dispatcher::pump(instant now, actions& out)
+void dispatcher::dispatchWaiting(instant now, actions& out)
 {
-    for (auto& [name, group] : m_classes)
-        pumpClass(group, now, out);
+    for (auto& [name, requestClass] : m_classes)
+        dispatchClass(requestClass, now, out);
 }
 
-void dispatcher::pumpClass(work_class& group, instant now, actions& out)
+void dispatcher::dispatchClass(request_class& requestClass, instant now, actions& out)
 {
     // A request that cannot start now, for instance a suspect that must run alone, holds up its own customer
     // only.
     std::set<std::string> blocked = customersAtLimit();
-    while (const waiting_request* front = group.queue.front(blocked)) {
+    while (const waiting_request* front = requestClass.queue.front(blocked)) {
         request_number number = front->request;
         std::string customer = front->customer;
         bool anyEligible = false;
-        bool started = tryStart(m_requests.at(number), group, now, out, anyEligible);
+        bool started = tryStart(m_requests.at(number), requestClass, now, out, anyEligible);
         if (anyEligible)
-            group.lastEligible = now;
+            requestClass.lastEligibleAt = now;
         if (started) {
             blocked = customersAtLimit();
             continue;
         }
-        bool givenUp = !anyEligible && now - group.lastEligible >= noTargetPatience;
-        if (givenUp) {
-            group.queue.remove(number);
+        bool timedOut = !anyEligible && now - requestClass.lastEligibleAt >= noTargetTimeout;
+        if (timedOut) {
+            requestClass.queue.remove(number);
             refuse(number,
                 makeError(error_kind::no_target, run_state::not_run,
                     "no target that may run this request is in service: come back later", retryAfterNoTarget),
@@ -196,9 +196,9 @@
 }
 
 bool dispatcher::tryStart(
-    pending_request& request, work_class& group, instant now, actions& out, bool& anyEligible)
+    pending_request& request, request_class& requestClass, instant now, actions& out, bool& anyEligible)
 {
-    routing_view view { m_view, m_targets, m_entries, m_prefixes, m_speeds, m_link, m_fullUntil };
+    routing_view view { m_view, m_targets, m_entries, m_prefixes, m_speeds, m_link, m_permitBackOffUntil };
     constexpr int maxTargetsTried = 4;
     for (int tried = 0; tried < maxTargetsTried; ++tried) {
         routing_choice choice = m_router.choose(request.spec, request.excluded, view, now);
@@ -206,47 +206,48 @@
         if (!choice.plan || choice.plan->owner.empty())
             return false;
         request.plan = *choice.plan;
-        request.plan.alone = m_suspects.of(request.spec.fingerprint, now) == suspicion::suspect;
-        permit_request ask { m_options.entry, request.plan.target, request.plan.incarnation,
+        request.plan.alone = m_suspects.suspicionOf(request.spec.fingerprint, now) == suspicion::suspect;
+        permit_request permitRequest { m_options.entry, request.plan.target, request.plan.incarnation,
             request.plan.alone };
         if (request.plan.owner != m_options.entry) {
-            group.queue.start(request.spec.number);
-            request.where = stage::asking;
-            request.asked = request.plan.target;
+            requestClass.queue.start(request.spec.number);
+            request.stage = request_stage::awaiting_permit;
+            request.permitTarget = request.plan.target;
             m_targets.find(request.plan.target)->startedSinceReport += 1;
-            out.push_back(ask_permit_action { request.spec.number, request.plan.owner, ask });
+            out.push_back(acquire_permit_action { request.spec.number, request.plan.owner, permitRequest });
             return true;
         }
-        permit_answer answer = m_ledger.acquire(ask, now);
+        permit_answer answer = m_ledger.acquire(permitRequest, now);
         if (answer.granted) {
-            group.queue.start(request.spec.number);
+            requestClass.queue.start(request.spec.number);
             m_targets.find(request.plan.target)->startedSinceReport += 1;
-            startOn(request, answer, now, out);
+            startWithPermit(request, answer, now, out);
             return true;
         }
-        m_fullUntil[request.plan.target] = now + answer.retryAfter;
+        m_permitBackOffUntil[request.plan.target] = now + answer.retryAfter;
     }
     return false;
 }
 
-void dispatcher::startOn(pending_request& request, const permit_answer& answer, instant now, actions& out)
+void dispatcher::startWithPermit(
+    pending_request& request, const permit_answer& answer, instant now, actions& out)
 {
     request.plan.permit = answer.permit;
     request.plan.window = answer.limit;
     setRunning(request, true);
-    auto& group = m_classes[classOf(request.spec)];
-    group.predictor.onStarted(toWaiting(request.spec).cost, now);
+    auto& requestClass = m_classes[classOf(request.spec)];
+    requestClass.predictor.onStarted(toWaiting(request.spec).cost, now);
     out.push_back(start_action { request.spec.number, request.plan });
 }
 
 void dispatcher::setRunning(pending_request& request, bool running)
 {
-    request.where = running ? stage::running : stage::waiting;
+    request.stage = running ? request_stage::running : request_stage::waiting;
     m_running += running ? 1 : -1;
-    auto& ofCustomer = m_runningOf[request.spec.customer];
+    auto& ofCustomer = m_runningByCustomer[request.spec.customer];
     ofCustomer += running ? 1 : -1;
     if (ofCustomer == 0)
-        m_runningOf.erase(request.spec.customer);
+        m_runningByCustomer.erase(request.spec.customer);
     known_target* target = m_targets.find(request.plan.target);
     if (!target || target->report.incarnation != request.plan.incarnation)
         return;
@@ -256,12 +257,12 @@
         target->ownRunning -= 1;
 }
 
-dispatcher::actions dispatcher::permitAnswered(
+dispatcher::actions dispatcher::onPermitAnswer(
     request_number request, const std::string& owner, const permit_answer& answer, instant now)
 {
     actions out;
     auto found = m_requests.find(request);
-    if (found == m_requests.end() || found->second.where != stage::asking) {
+    if (found == m_requests.end() || found->second.stage != request_stage::awaiting_permit) {
         // The caller left while the owner was asked.
         if (answer.granted)
             out.push_back(release_permit_action {
@@ -270,43 +271,44 @@
     }
     pending_request& pending = found->second;
     if (answer.granted) {
-        startOn(pending, answer, now, out);
+        startWithPermit(pending, answer, now, out);
         return out;
     }
-    m_fullUntil[pending.asked] = now + answer.retryAfter;
-    giveBack(pending, now);
-    pump(now, out);
+    m_permitBackOffUntil[pending.permitTarget] = now + answer.retryAfter;
+    requeue(pending, now);
+    dispatchWaiting(now, out);
     return out;
 }
 
-dispatcher::actions dispatcher::permitUnanswered(request_number request, instant now)
+dispatcher::actions dispatcher::onOwnerUnreachable(request_number request, instant now)
 {
     actions out;
     auto found = m_requests.find(request);
-    if (found == m_requests.end() || found->second.where != stage::asking)
+    if (found == m_requests.end() || found->second.stage != request_stage::awaiting_permit)
         return out;
-    m_fullUntil[found->second.asked] = now + ownerUnreachablePause;
-    giveBack(found->second, now);
-    pump(now, out);
+    m_permitBackOffUntil[found->second.permitTarget] = now + ownerUnreachableBackOff;
+    requeue(found->second, now);
+    dispatchWaiting(now, out);
     return out;
 }
 
-void dispatcher::giveBack(pending_request& request, instant now)
+void dispatcher::requeue(pending_request& request, instant now)
 {
-    request.where = stage::waiting;
-    known_target* target = m_targets.find(request.asked);
+    request.stage = request_stage::waiting;
+    known_target* target = m_targets.find(request.permitTarget);
     if (target && target->startedSinceReport > 0)
         target->startedSinceReport -= 1;
-    auto& group = m_classes[classOf(request.spec)];
-    group.queue.giveBack(toWaiting(request.spec));
-    group.lastEligible = now;
+    auto& requestClass = m_classes[classOf(request.spec)];
+    requestClass.queue.requeue(toWaiting(request.spec));
+    requestClass.lastEligibleAt = now;
 }
 
 // ---------------------------------------------------------------- ending
 
 // What a warm target needs for the part that it really had to compute. A cache that holds less than was hoped
 // for must not look like a cold start.
-milliseconds dispatcher::expectedOf(const pending_request& request, const attempt_report& report) const
+milliseconds dispatcher::expectedFirstTokenOf(
+    const pending_request& request, const attempt_report& report) const
 {
     const request_spec& spec = request.spec;
     bool measured = report.outcome == attempt_outcome::succeeded && !spec.model.empty();
@@ -318,16 +320,16 @@
 
 void dispatcher::release(const pending_request& request, const attempt_report& report, actions& out)
 {
-    attempt_measure measure { report.outcome, report.firstToken, expectedOf(request, report),
+    attempt_measure measure { report.outcome, report.firstToken, expectedFirstTokenOf(request, report),
         m_speeds.isKnown(request.spec.model) };
     if (request.plan.owner == m_options.entry)
         m_ledger.release(request.plan.permit, measure);
     else
         out.push_back(release_permit_action { request.plan.owner, request.plan.permit, measure });
-    m_fullUntil.erase(request.plan.target);
+    m_permitBackOffUntil.erase(request.plan.target);
 }
 
-void dispatcher::learnFrom(
+void dispatcher::recordOutcome(
     const pending_request& request, const attempt_report& report, instant now, actions& out)
 {
     const request_spec& spec = request.spec;
@@ -340,7 +342,7 @@
         if (!spec.model.empty()) {
             std::uint32_t uncached = spec.promptTokens - std::min(spec.promptTokens, report.cachedTokens);
             m_classes[classOf(spec)].predictor.onFirstToken(report.firstToken);
-            m_speeds.learn(spec.model, uncached, report.firstToken, report.held, request.plan.window > 1);
+            m_speeds.learn(spec.model, uncached, report.firstToken, report.duration, request.plan.window > 1);
             m_prefixes.add(request.plan.target, spec.chain);
         }
         break;
@@ -356,28 +358,28 @@
     case attempt_outcome::lost:
     case attempt_outcome::not_reached:
         if (target)
-            target->avoidUntil = now + avoidAfterFailure;
+            target->avoidUntil = now + backOffAfterFailure;
         break;
     case attempt_outcome::refused:
         if (target)
-            target->avoidUntil = now + avoidAfterRefusal;
+            target->avoidUntil = now + backOffAfterRefusal;
         break;
     case attempt_outcome::cancelled:
         break;
     }
 }
 
-dispatcher::actions dispatcher::finished(request_number request, const attempt_report& report, instant now)
+dispatcher::actions dispatcher::onFinished(request_number request, const attempt_report& report, instant now)
 {
     actions out;
     auto found = m_requests.find(request);
-    if (found == m_requests.end() || found->second.where != stage::running)
+    if (found == m_requests.end() || found->second.stage != request_stage::running)
         return out;
     setRunning(found->second, false);
     release(found->second, report, out);
-    learnFrom(found->second, report, now, out);
+    recordOutcome(found->second, report, now, out);
     m_requests.erase(found);
-    pump(now, out);
+    dispatchWaiting(now, out);
     return out;
 }
 
@@ -385,21 +387,21 @@
 {
     actions out;
     auto found = m_requests.find(next.number);
-    if (found == m_requests.end() || found->second.where != stage::running)
+    if (found == m_requests.end() || found->second.stage != request_stage::running)
         return out;
     pending_request& pending = found->second;
     setRunning(pending, false);
     release(pending, report, out);
-    learnFrom(pending, report, now, out);
+    recordOutcome(pending, report, now, out);
     run_state ran = runStateAfter(report.outcome);
-    bool mayRunAgain = pending.spec.idempotent || ran == run_state::not_run;
-    if (m_suspects.of(next.fingerprint, now) == suspicion::condemned) {
+    bool mayRetry = pending.spec.idempotent || ran == run_state::not_run;
+    if (m_suspects.suspicionOf(next.fingerprint, now) == suspicion::condemned) {
         refuse(next.number,
             makeError(error_kind::crashes_targets, run_state::ran,
                 "this request has crashed the targets that ran it: change it, or ask an operator to withdraw "
                 "the verdict"),
             out);
-    } else if (!mayRunAgain) {
+    } else if (!mayRetry) {
         refuse(next.number,
             makeError(error_kind::outcome_unknown, run_state::unknown,
                 "the target was lost while it ran the request: find out what was done before sending it "
@@ -414,12 +416,12 @@
         pending.excluded.insert(pending.plan.target);
         pending.spec = next;
         pending.retried = pending.retried || ran != run_state::not_run;
-        pending.where = stage::waiting;
-        auto& group = m_classes[classOf(next)];
-        enqueue(next, group, now);
-        group.lastEligible = now;
+        pending.stage = request_stage::waiting;
+        auto& requestClass = m_classes[classOf(next)];
+        enqueue(next, requestClass, now);
+        requestClass.lastEligibleAt = now;
     }
-    pump(now, out);
+    dispatchWaiting(now, out);
     return out;
 }
 
--- a/packages/core/src/plumfold_dispatcher_news.cpp
+++ b/packages/core/src/plumfold_dispatcher_updates.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr milliseconds retryAfterShort { 500 };
-constexpr milliseconds ownerUnreachablePause { 200 };
+constexpr milliseconds ownerUnreachableBackOff { 200 };
 
 } // namespace
 
@@ -18,20 +18,21 @@
     bool restarted = before && before->report.incarnation != report.incarnation;
     if (!m_targets.update(report, sentAt))
         return out;
-    m_fullUntil.erase(report.name);
+    m_permitBackOffUntil.erase(report.name);
     if (restarted)
         m_prefixes.forget(report.name);
     if (m_entries.ownerOf(report.name, report.failureDomain) == m_options.entry)
         m_ledger.onReport(report, now);
-    pump(now, out);
+    dispatchWaiting(now, out);
     return out;
 }
 
-dispatcher::actions dispatcher::onConfiguration(const configuration_update& update, bool& fits, instant now)
+dispatcher::actions dispatcher::onConfiguration(
+    const configuration_update& update, bool& applied, instant now)
 {
     actions out;
-    fits = m_view.apply(update);
-    pump(now, out);
+    applied = m_view.apply(update);
+    dispatchWaiting(now, out);
     return out;
 }
 
@@ -42,13 +43,13 @@
     m_entries.expire(now);
     m_ledger.expire(now);
     m_suspects.expire(now);
-    std::erase_if(m_fullUntil, [&](const auto& each) { return each.second <= now; });
-    refuseOverdue(now, out);
+    std::erase_if(m_permitBackOffUntil, [&](const auto& each) { return each.second <= now; });
+    refuseExpired(now, out);
     if (now >= m_nextRenewal) {
         m_nextRenewal = now + m_options.permitLease / 4;
         renewPermits(now, out);
     }
-    pump(now, out);
+    dispatchWaiting(now, out);
     std::erase_if(m_classes, [&](const auto& each) {
         return each.second.queue.size() == 0
             && now - each.second.predictor.lastUsed() > std::chrono::minutes(1);
@@ -56,10 +57,10 @@
     return out;
 }
 
-void dispatcher::refuseOverdue(instant now, actions& out)
+void dispatcher::refuseExpired(instant now, actions& out)
 {
-    for (auto& [name, group] : m_classes) {
-        for (request_number request : group.queue.expire(now)) {
+    for (auto& [name, requestClass] : m_classes) {
+        for (request_number request : requestClass.queue.expire(now)) {
             refuse(request,
                 makeError(error_kind::deadline_unreachable, run_state::not_run,
                     "the deadline passed before a target was free: come back later or allow more time",
@@ -73,7 +74,7 @@
 {
     std::map<std::string, std::vector<permit_id>> held;
     for (const auto& [number, request] : m_requests) {
-        if (request.where == stage::running)
+        if (request.stage == request_stage::running)
             held[request.plan.owner].push_back(request.plan.permit);
     }
     for (auto& [owner, permits] : held) {
@@ -86,23 +87,23 @@
 
 // ---------------------------------------------------------------- permits for other entries
 
-permit_answer dispatcher::acquireFor(const permit_request& request, instant now)
+permit_answer dispatcher::acquireForPeer(const permit_request& request, instant now)
 {
     const known_target* target = m_targets.find(request.target);
     if (!target || m_entries.ownerOf(request.target, target->report.failureDomain) != m_options.entry)
-        return permit_answer { false, 0, 0, ownerUnreachablePause };
+        return permit_answer { false, 0, 0, ownerUnreachableBackOff };
     return m_ledger.acquire(request, now);
 }
 
-dispatcher::actions dispatcher::releaseFor(permit_id permit, const attempt_measure& measure, instant now)
+dispatcher::actions dispatcher::releaseForPeer(permit_id permit, const attempt_measure& measure, instant now)
 {
     actions out;
     m_ledger.release(permit, measure);
-    pump(now, out);
+    dispatchWaiting(now, out);
     return out;
 }
 
-void dispatcher::renewFor(const std::string& holder, const std::vector<permit_id>& permits, instant now)
+void dispatcher::renewForPeer(const std::string& holder, const std::vector<permit_id>& permits, instant now)
 {
     m_ledger.renew(holder, permits, now);
 }
--- a/packages/core/src/plumfold_error.cpp
+++ b/packages/core/src/plumfold_error.cpp
@@ -64,9 +64,9 @@
 absl::Status toStatus(const error_info& error)
 {
     absl::Status status(rowOf(error.kind).code, error.message);
-    auto retry = error.retryAfter ? error.retryAfter->count() : -1;
+    auto retryAfterMs = error.retryAfter ? error.retryAfter->count() : -1;
     std::string payload = std::to_string(static_cast<int>(error.kind)) + ' '
-        + std::to_string(static_cast<int>(error.ran)) + ' ' + std::to_string(retry);
+        + std::to_string(static_cast<int>(error.ran)) + ' ' + std::to_string(retryAfterMs);
     status.SetPayload(payloadUrl, absl::Cord(payload));
     return status;
 }
@@ -83,9 +83,9 @@
     std::size_t second = text.find(' ', first + 1);
     error.kind = static_cast<error_kind>(std::stoi(text.substr(0, first)));
     error.ran = static_cast<run_state>(std::stoi(text.substr(first + 1, second - first - 1)));
-    long long retry = std::stoll(text.substr(second + 1));
-    if (retry >= 0)
-        error.retryAfter = milliseconds(retry);
+    long long retryAfterMs = std::stoll(text.substr(second + 1));
+    if (retryAfterMs >= 0)
+        error.retryAfter = milliseconds(retryAfterMs);
     return error;
 }
 
--- a/packages/core/src/plumfold_event_cursor.cpp
+++ b/packages/core/src/plumfold_event_cursor.cpp
@@ -8,21 +8,21 @@
 
 std::string event_cursor::feed(std::string_view bytes)
 {
-    m_rest += bytes;
+    m_partialEvent += bytes;
     std::size_t end = 0;
-    auto plain = m_rest.rfind("\n\n");
-    auto withReturns = m_rest.rfind("\r\n\r\n");
-    if (plain != std::string::npos)
-        end = plain + 2;
-    if (withReturns != std::string::npos)
-        end = std::max(end, withReturns + 4);
-    std::string whole = m_rest.substr(0, end);
-    m_rest.erase(0, end);
-    readIds(whole);
-    return whole;
+    auto lastLf = m_partialEvent.rfind("\n\n");
+    auto lastCrLf = m_partialEvent.rfind("\r\n\r\n");
+    if (lastLf != std::string::npos)
+        end = lastLf + 2;
+    if (lastCrLf != std::string::npos)
+        end = std::max(end, lastCrLf + 4);
+    std::string complete = m_partialEvent.substr(0, end);
+    m_partialEvent.erase(0, end);
+    parseEventIds(complete);
+    return complete;
 }
 
-void event_cursor::readIds(std::string_view events)
+void event_cursor::parseEventIds(std::string_view events)
 {
     for (absl::string_view line : absl::StrSplit(absl::string_view(events.data(), events.size()), '\n')) {
         std::uint64_t id = 0;
--- a/packages/core/src/plumfold_fair_queue.cpp
+++ b/packages/core/src/plumfold_fair_queue.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool goesBefore(const waiting_request& a, const waiting_request& b)
+bool precedes(const waiting_request& a, const waiting_request& b)
 {
     if (a.priority != b.priority)
         return a.priority < b.priority;
@@ -26,7 +26,7 @@
         if (idle != m_idleFinish.end())
             m_idleFinish.erase(idle);
     }
-    auto position = std::upper_bound(queue.requests.begin(), queue.requests.end(), request, goesBefore);
+    auto position = std::upper_bound(queue.requests.begin(), queue.requests.end(), request, precedes);
     queue.requests.insert(position, request);
     m_customerOf[request.request] = request.customer;
     m_waitingCost += request.cost;
@@ -53,40 +53,40 @@
     return best ? &best->requests.front() : nullptr;
 }
 
-std::optional<waiting_request> fair_queue::take(request_number request)
+std::optional<waiting_request> fair_queue::extract(request_number request)
 {
-    auto owner = m_customerOf.find(request);
-    if (owner == m_customerOf.end())
+    auto found = m_customerOf.find(request);
+    if (found == m_customerOf.end())
         return std::nullopt;
-    auto& requests = m_customers[owner->second].requests;
+    auto& requests = m_customers[found->second].requests;
     auto place = std::find_if(
         requests.begin(), requests.end(), [&](const auto& each) { return each.request == request; });
-    waiting_request taken = *place;
+    waiting_request extracted = *place;
     requests.erase(place);
-    m_customerOf.erase(owner);
+    m_customerOf.erase(found);
     if (requests.empty()) {
-        setIdle(taken.customer, m_customers.at(taken.customer).finish);
-        m_customers.erase(taken.customer);
+        setIdle(extracted.customer, m_customers.at(extracted.customer).finish);
+        m_customers.erase(extracted.customer);
     }
-    m_waitingCost -= taken.cost;
-    return taken;
+    m_waitingCost -= extracted.cost;
+    return extracted;
 }
 
 void fair_queue::start(request_number request)
 {
-    auto owner = m_customerOf.find(request);
-    if (owner == m_customerOf.end())
+    auto found = m_customerOf.find(request);
+    if (found == m_customerOf.end())
         return;
-    auto& queue = m_customers.at(owner->second);
+    auto& queue = m_customers.at(found->second);
     m_virtualTime = std::max(m_virtualTime, queue.finish);
     for (const auto& each : queue.requests) {
         if (each.request == request)
             queue.finish += static_cast<double>(each.cost) / std::max(1u, each.weight);
     }
-    take(request);
+    extract(request);
 }
 
-void fair_queue::giveBack(const waiting_request& request)
+void fair_queue::requeue(const waiting_request& request)
 {
     push(request);
     m_customers.at(request.customer).finish
@@ -95,7 +95,7 @@
 
 bool fair_queue::remove(request_number request)
 {
-    return take(request).has_value();
+    return extract(request).has_value();
 }
 
 std::vector<request_number> fair_queue::expire(instant now)
@@ -108,7 +108,7 @@
         }
     }
     for (request_number request : expired)
-        take(request);
+        extract(request);
     return expired;
 }
 
--- a/packages/core/src/plumfold_permit_ledger.cpp
+++ b/packages/core/src/plumfold_permit_ledger.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr milliseconds retryWhenFull { 10 };
-constexpr milliseconds forgetSilentTarget { 60'000 };
+constexpr milliseconds silentTargetTimeout { 60'000 };
 constexpr milliseconds drainReservation { 2000 };
 // A refused holder keeps its place for a few of its retries.
-constexpr milliseconds waitingPlace { 40 };
+constexpr milliseconds waitingPlaceTimeout { 40 };
 
 } // namespace
 
@@ -60,14 +60,14 @@
     }
     bool drains = now < target.drainUntil && !request.alone;
     std::uint32_t limit = request.alone ? 1 : target.window.limit();
-    std::uint32_t ahead = waitingBefore(target, request.holder, now);
+    std::uint32_t ahead = holdersAhead(target, request.holder, now);
     if (target.aloneHeld || drainsForOther || drains || taken + ahead >= limit) {
         auto place = std::find_if(target.waiting.begin(), target.waiting.end(),
             [&](const auto& each) { return each.holder == request.holder; });
         if (place == target.waiting.end())
-            target.waiting.push_back({ request.holder, now + waitingPlace });
+            target.waiting.push_back({ request.holder, now + waitingPlaceTimeout });
         else
-            place->until = now + waitingPlace;
+            place->until = now + waitingPlaceTimeout;
         return answer;
     }
     std::erase_if(target.waiting, [&](const auto& each) { return each.holder == request.holder; });
@@ -84,7 +84,7 @@
 
 // Freed places go to the holders that were refused first; the owner itself has no advantage over other
 // entries.
-std::uint32_t permit_ledger::waitingBefore(owned_target& target, const std::string& holder, instant now)
+std::uint32_t permit_ledger::holdersAhead(owned_target& target, const std::string& holder, instant now)
 {
     std::erase_if(target.waiting, [&](const auto& each) { return each.until <= now; });
     std::uint32_t count = 0;
@@ -96,7 +96,7 @@
     return count;
 }
 
-void permit_ledger::drop(std::map<permit_id, held_permit>::iterator permit)
+void permit_ledger::erasePermit(std::map<permit_id, held_permit>::iterator permit)
 {
     auto found = m_targets.find(permit->second.target);
     if (found != m_targets.end()) {
@@ -115,7 +115,7 @@
     auto target = m_targets.find(held->second.target);
     if (target != m_targets.end())
         target->second.window.record(measure);
-    drop(held);
+    erasePermit(held);
 }
 
 void permit_ledger::renew(const std::string& holder, const std::vector<permit_id>& permits, instant now)
@@ -132,15 +132,15 @@
     for (auto it = m_permits.begin(); it != m_permits.end();) {
         auto next = std::next(it);
         if (it->second.until <= now)
-            drop(it);
+            erasePermit(it);
         it = next;
     }
     std::erase_if(m_targets, [&](const auto& each) {
-        return each.second.taken == 0 && now - each.second.reportedAt > forgetSilentTarget;
+        return each.second.taken == 0 && now - each.second.reportedAt > silentTargetTimeout;
     });
 }
 
-void permit_ledger::forget(const std::string& target)
+void permit_ledger::remove(const std::string& target)
 {
     std::erase_if(m_permits, [&](const auto& each) { return each.second.target == target; });
     m_targets.erase(target);
--- a/packages/core/src/plumfold_report_relay.cpp
+++ b/packages/core/src/plumfold_report_relay.cpp
@@ -8,7 +8,7 @@
 {
 }
 
-bool report_relay::hasNews(const target_report& before, const target_report& now) const
+bool report_relay::needsImmediateRelay(const target_report& before, const target_report& now) const
 {
     bool loadChanged = before.running != now.running || before.queued != now.queued;
     if (m_sameDomain && loadChanged)
@@ -20,13 +20,14 @@
     return sameLoad != now;
 }
 
-bool report_relay::take(const target_report& report, instant now)
+bool report_relay::markSentIfDue(const target_report& report, instant now)
 {
     auto [place, isNew] = m_sent.try_emplace(report.name);
     sent_report& sent = place->second;
-    bool isOld
+    bool isSameReport
         = !isNew && sent.report.sequence == report.sequence && sent.report.incarnation == report.incarnation;
-    bool due = isNew || hasNews(sent.report, report) || (!isOld && now - sent.at >= m_refresh);
+    bool due
+        = isNew || needsImmediateRelay(sent.report, report) || (!isSameReport && now - sent.at >= m_refresh);
     if (due)
         sent = { report, now };
     return due;
--- a/packages/core/src/plumfold_router.cpp
+++ b/packages/core/src/plumfold_router.cpp
@@ -47,7 +47,7 @@
 } // namespace
 
 router::router(const dispatch_options& options)
-    : m_viewBound(options.viewBound)
+    : m_viewBound(options.maxViewAge)
     , m_failureDomain(options.failureDomain)
     , m_random(options.seed)
 {
--- a/packages/core/src/plumfold_suspect_registry.cpp
+++ b/packages/core/src/plumfold_suspect_registry.cpp
@@ -10,12 +10,12 @@
 
 } // namespace
 
-suspect_registry::suspect_registry(milliseconds keep)
-    : m_keep(keep)
+suspect_registry::suspect_registry(milliseconds maxAge)
+    : m_maxAge(maxAge)
 {
 }
 
-suspicion suspect_registry::of(std::uint64_t fingerprint, instant now) const
+suspicion suspect_registry::suspicionOf(std::uint64_t fingerprint, instant now) const
 {
     auto found = m_suspects.find(fingerprint);
     if (found == m_suspects.end() || found->second.until <= now)
@@ -26,10 +26,10 @@
 suspicion suspect_registry::onCrash(std::uint64_t fingerprint, bool alone, instant now)
 {
     auto& entry = m_suspects[fingerprint];
-    entry.until = now + m_keep;
+    entry.until = now + m_maxAge;
     // A crash beside other requests proves nothing, however often it happens.
     entry.crashes = alone ? std::max(entry.crashes + 1, crashesToCondemn) : std::max(entry.crashes, 1u);
-    return of(fingerprint, now);
+    return suspicionOf(fingerprint, now);
 }
 
 void suspect_registry::onSuccess(std::uint64_t fingerprint)
@@ -39,11 +39,11 @@
         m_suspects.erase(found);
 }
 
-void suspect_registry::learn(const suspect_state& state, instant now)
+void suspect_registry::merge(const suspect_state& state, instant now)
 {
     auto& entry = m_suspects[state.fingerprint];
     if (state.crashes > entry.crashes || entry.until <= now)
-        entry.until = now + m_keep;
+        entry.until = now + m_maxAge;
     entry.crashes = std::max(entry.crashes, state.crashes);
 }
 
--- a/packages/entry/src/plumfold_completion_flow.cpp
+++ b/packages/entry/src/plumfold_completion_flow.cpp
@@ -232,7 +232,7 @@
     core::attempt_report report;
     report.outcome = result.outcome;
     report.firstToken = result.firstToken;
-    report.held = since(started);
+    report.duration = since(started);
     report.cachedTokens = result.cachedTokens;
     report.answerStarted = m_assembly.next() > 0;
     if (plan.alone)
--- a/packages/entry/src/plumfold_dispatch_duty.cpp
+++ b/packages/entry/src/plumfold_dispatch_duty.cpp
@@ -131,7 +131,7 @@
 
 core::dispatcher::actions dispatch_duty::handle(finished_event& event)
 {
-    return m_dispatcher.finished(event.request, event.report, runtime::now());
+    return m_dispatcher.onFinished(event.request, event.report, runtime::now());
 }
 
 core::dispatcher::actions dispatch_duty::handle(retry_event& event)
@@ -148,7 +148,7 @@
     // When the request had just been started, its verdict was never read: nothing was sent to the target.
     core::attempt_report unused;
     unused.outcome = core::attempt_outcome::cancelled;
-    for (auto& each : m_dispatcher.finished(event.request, unused, runtime::now()))
+    for (auto& each : m_dispatcher.onFinished(event.request, unused, runtime::now()))
         actions.push_back(std::move(each));
     return actions;
 }
@@ -175,7 +175,7 @@
         return actions;
     }
     if (event.confirmed)
-        m_dispatcher.onConfirmed(runtime::now());
+        m_dispatcher.onConfigurationConfirmed(runtime::now());
     std::uint64_t after = m_dispatcher.view().config().revision();
     if (after != before || !knownBefore) {
         publish(true);
@@ -201,7 +201,7 @@
 
 core::dispatcher::actions dispatch_duty::handle(peer_event& event)
 {
-    m_dispatcher.onEntryHeard(event.peer);
+    m_dispatcher.onPeerState(event.peer);
     for (const auto& each : event.suspects)
         m_dispatcher.onSuspect(each, runtime::now());
     return {};
@@ -216,24 +216,24 @@
 core::dispatcher::actions dispatch_duty::handle(permit_answer_event& event)
 {
     if (!event.answer)
-        return m_dispatcher.permitUnanswered(event.request, runtime::now());
-    return m_dispatcher.permitAnswered(event.request, event.owner, *event.answer, runtime::now());
+        return m_dispatcher.onOwnerUnreachable(event.request, runtime::now());
+    return m_dispatcher.onPermitAnswer(event.request, event.owner, *event.answer, runtime::now());
 }
 
 core::dispatcher::actions dispatch_duty::handle(permit_asked_event& event)
 {
-    event.answer(m_dispatcher.acquireFor(event.ask, runtime::now()));
+    event.answer(m_dispatcher.acquireForPeer(event.ask, runtime::now()));
     return {};
 }
 
 core::dispatcher::actions dispatch_duty::handle(permit_released_event& event)
 {
-    return m_dispatcher.releaseFor(event.permit, event.measure, runtime::now());
+    return m_dispatcher.releaseForPeer(event.permit, event.measure, runtime::now());
 }
 
 core::dispatcher::actions dispatch_duty::handle(permits_renewed_event& event)
 {
-    m_dispatcher.renewFor(event.holder, event.permits, runtime::now());
+    m_dispatcher.renewForPeer(event.holder, event.permits, runtime::now());
     return {};
 }
 
--- a/packages/entry/src/plumfold_dispatch_duty.hpp
+++ b/packages/entry/src/plumfold_dispatch_duty.hpp
@@ -97,7 +97,7 @@
 
 /// Where the dispatch duty hands on what it cannot do itself.
 struct dispatch_outputs {
-    std::function<void(const core::ask_permit_action&)> ask;
+    std::function<void(const core::acquire_permit_action&)> ask;
     std::function<void(const core::release_permit_action&)> release;
     std::function<void(const core::renew_permits_action&)> renew;
     std::function<void(const core::condemn_action&)> condemn;
@@ -162,7 +162,7 @@
     void perform(const core::dispatcher::actions& actions);
     void perform(const core::start_action& action);
     void perform(const core::refuse_action& action);
-    void perform(const core::ask_permit_action& action) { m_outputs.ask(action); }
+    void perform(const core::acquire_permit_action& action) { m_outputs.ask(action); }
     void perform(const core::release_permit_action& action) { m_outputs.release(action); }
     void perform(const core::renew_permits_action& action) { m_outputs.renew(action); }
     void perform(const core::condemn_action& action) { m_outputs.condemn(action); }
--- a/packages/entry/src/plumfold_entry_role.cpp
+++ b/packages/entry/src/plumfold_entry_role.cpp
@@ -25,10 +25,10 @@
     core::dispatch_options options;
     options.entry = settings.process.name;
     options.failureDomain = settings.process.failureDomain;
-    options.viewBound = core::milliseconds(settings.entry->viewBoundMs);
+    options.maxViewAge = core::milliseconds(settings.entry->viewBoundMs);
     options.targetExpiry = core::milliseconds(settings.entry->targetExpiryMs);
     options.maxQueueWait = core::milliseconds(settings.entry->maxQueueWaitMs);
-    options.firstTokenBound = core::milliseconds(settings.entry->firstTokenBoundMs);
+    options.maxTimeToFirstToken = core::milliseconds(settings.entry->firstTokenBoundMs);
     options.linkBytesPerSecond = settings.entry->linkBytesPerSecond;
     options.seed = seed;
     return options;
@@ -89,7 +89,7 @@
     dispatch_outputs outputs()
     {
         dispatch_outputs out;
-        out.ask = [this](const core::ask_permit_action& action) { m_mesh.ask(action); };
+        out.ask = [this](const core::acquire_permit_action& action) { m_mesh.ask(action); };
         out.release = [this](const core::release_permit_action& action) { m_mesh.release(action); };
         out.renew = [this](const core::renew_permits_action& action) { m_mesh.renew(action); };
         out.condemn = [this](const core::condemn_action& action) {
--- a/packages/entry/src/plumfold_peer_mesh.cpp
+++ b/packages/entry/src/plumfold_peer_mesh.cpp
@@ -252,7 +252,7 @@
     std::lock_guard lock(m_reportMutex);
     std::erase_if(m_reports, [&](const auto& each) { return now - each.second.sentAt > reportForgetTime; });
     for (const auto& [name, each] : m_reports) {
-        if (to.relay->take(each.report, now))
+        if (to.relay->markSentIfDue(each.report, now))
             due.push_back(each);
     }
     return due;
@@ -291,7 +291,7 @@
 
 // ---------------------------------------------------------------- permits
 
-void peer_mesh::ask(const core::ask_permit_action& action)
+void peer_mesh::ask(const core::acquire_permit_action& action)
 {
     m_rpc.post([this, action] {
         auto unanswered = [this, request = action.request, owner = action.owner] {
@@ -303,10 +303,10 @@
             return;
         }
         auto request = KJ_ASSERT_NONNULL(to->peer).acquireRequest();
-        request.setFrom(action.ask.holder);
-        request.setTarget(action.ask.target);
-        request.setIncarnation(action.ask.incarnation);
-        request.setAlone(action.ask.alone);
+        request.setFrom(action.permitRequest.holder);
+        request.setTarget(action.permitRequest.target);
+        request.setIncarnation(action.permitRequest.incarnation);
+        request.setAlone(action.permitRequest.alone);
         auto answer = wire::withTimeout(m_rpc, request.send().dropPipeline(), permitTimeout);
         m_tasks->add(answer.then(
             [this, action](capnp::Response<wire::EntryPeer::AcquireResults> response) {
--- a/packages/entry/src/plumfold_peer_mesh.hpp
+++ b/packages/entry/src/plumfold_peer_mesh.hpp
@@ -36,7 +36,7 @@
     /// Relays a target's report to the other entries with the next gossip.
     void onDirectReport(const core::target_report& report, core::instant sentAt);
 
-    void ask(const core::ask_permit_action& action);
+    void ask(const core::acquire_permit_action& action);
     void release(const core::release_permit_action& action);
     void renew(const core::renew_permits_action& action);
 
--- a/packages/entry/src/plumfold_service_flow.cpp
+++ b/packages/entry/src/plumfold_service_flow.cpp
@@ -58,7 +58,7 @@
             result.outcome = attempt_outcome::crashed;
         core::attempt_report report;
         report.outcome = result.outcome;
-        report.held = std::chrono::duration_cast<core::milliseconds>(runtime::now() - from);
+        report.duration = std::chrono::duration_cast<core::milliseconds>(runtime::now() - from);
         if (result.outcome == attempt_outcome::succeeded) {
             m_flow.context.duty.post(finished_event { m_spec.number, report });
             answer(*plan, result);
--- a/packages/forwarding/src/plumfold_request_attempt.cpp
+++ b/packages/forwarding/src/plumfold_request_attempt.cpp
@@ -248,7 +248,7 @@
 
 task<core::attempt_end> request_forwarder::relayStream(answer_parser& parser)
 {
-    m_events.beginRun();
+    m_events.startAttempt();
     if (!m_streamStarted) {
         // An earlier run may have left its headers without any event.
         m_streamHead.base().clear();
@@ -265,7 +265,7 @@
             co_return core::attempt_end::given_up;
         }
     }
-    std::string rest = m_events.takeRest();
+    std::string rest = m_events.takePartialEvent();
     if (!rest.empty())
         co_await relayPiece(std::move(rest));
     if (!m_streamStarted && !co_await writeStreamHead())
--- a/tests/core/plumfold_dispatcher_tests.cpp
+++ b/tests/core/plumfold_dispatcher_tests.cpp
@@ -25,7 +25,7 @@
         config.apply(record(customer_record { "samvinna", std::string(64, 'b'), 1, 8, 8, { "base" } }));
         m_config = config;
         configure();
-        m_dispatcher.onConfirmed(now);
+        m_dispatcher.onConfigurationConfirmed(now);
     }
 
     static dispatch_options options()
@@ -53,7 +53,7 @@
         report.models = { { "base", version, {} } };
         report.maxBatch = maxBatch;
         report.running = running;
-        reportTwice(report);
+        reportWarm(report);
     }
 
     void announceService(const std::string& name)
@@ -67,7 +67,7 @@
         report.services = { "orders" };
         report.maxBatch = maxBatch;
         report.running = maxBatch;
-        reportTwice(report);
+        reportWarm(report);
     }
 
     request_spec spec(const std::string& customer = "espuma")
@@ -83,7 +83,7 @@
         return made;
     }
 
-    void submit(const request_spec& what) { take(m_dispatcher.submit(what, now)); }
+    void submit(const request_spec& what) { apply(m_dispatcher.submit(what, now)); }
 
     /// @return the target where a request was started last, or an empty name.
     std::string startedOn(request_number request) const
@@ -105,8 +105,8 @@
         attempt_report report;
         report.outcome = outcome;
         report.firstToken = m_started.at(request).expectedFirstToken;
-        report.held = milliseconds(50);
-        take(m_dispatcher.finished(request, report, now));
+        report.duration = milliseconds(50);
+        apply(m_dispatcher.onFinished(request, report, now));
     }
 
     void retry(const request_spec& next, attempt_outcome outcome)
@@ -114,24 +114,24 @@
         m_started.erase(next.number);
         attempt_report report;
         report.outcome = outcome;
-        take(m_dispatcher.retry(next, report, now));
+        apply(m_dispatcher.retry(next, report, now));
     }
 
-    void pass(milliseconds time)
+    void advance(milliseconds time)
     {
         now += time;
-        take(m_dispatcher.tick(now));
+        apply(m_dispatcher.tick(now));
     }
 
-    void take(const dispatcher::actions& actions)
+    void apply(const dispatcher::actions& actions)
     {
         for (const auto& action : actions) {
             if (const auto* start = std::get_if<start_action>(&action))
                 m_started[start->request] = start->plan;
             if (const auto* refuse = std::get_if<refuse_action>(&action))
                 m_refused[refuse->request] = refuse->error;
-            if (const auto* ask = std::get_if<ask_permit_action>(&action))
-                asked.push_back(*ask);
+            if (const auto* acquire = std::get_if<acquire_permit_action>(&action))
+                permitRequests.push_back(*acquire);
             if (std::holds_alternative<release_permit_action>(action))
                 ++released;
             if (std::holds_alternative<condemn_action>(action))
@@ -140,19 +140,19 @@
     }
 
     instant now { std::chrono::hours(1) };
-    std::vector<ask_permit_action> asked;
+    std::vector<acquire_permit_action> permitRequests;
     int released = 0;
     int condemned = 0;
     dispatcher& subject() { return m_dispatcher; }
 
 private:
     // As if the target had been known for longer than a lease: its load is its own window, and free.
-    void reportTwice(target_report report)
+    void reportWarm(target_report report)
     {
         for (std::uint32_t running : { report.running, 0u }) {
             report.running = running;
             report.sequence = ++m_sequence;
-            take(m_dispatcher.onReport(report, now, now));
+            apply(m_dispatcher.onReport(report, now, now));
         }
     }
 
@@ -160,7 +160,7 @@
     {
         bool fits = false;
         configuration_update update { m_config.revision(), m_config.digest(), m_config.records(), {} };
-        take(m_dispatcher.onConfiguration(update, fits, now));
+        apply(m_dispatcher.onConfiguration(update, fits, now));
         REQUIRE(fits);
     }
 
@@ -190,7 +190,7 @@
         leaving.models = { { "base", "v1", {} } };
         leaving.leaving = true;
         leaving.sequence = 1000;
-        take(subject().onReport(leaving, now, now));
+        apply(subject().onReport(leaving, now, now));
     }
     SECTION("so does the operators'")
     {
@@ -206,12 +206,12 @@
     }
     SECTION("a silent target is forgotten")
     {
-        pass(milliseconds(3001));
+        advance(milliseconds(3001));
     }
     auto second = spec();
     submit(second);
     CHECK(startedOn(second.number).empty());
-    pass(milliseconds(600));
+    advance(milliseconds(600));
     REQUIRE(refusal(second.number));
     CHECK(refusal(second.number)->kind == error_kind::no_target);
     CHECK(refusal(second.number)->ran == run_state::not_run);
@@ -267,7 +267,7 @@
     for (std::size_t index = 0; index < 16; ++index) {
         CHECK(started() == static_cast<std::ptrdiff_t>(index) + 1);
         finish(specs[index].number);
-        pass(milliseconds(50));
+        advance(milliseconds(50));
         specs.push_back(spec());
         submit(specs.back());
     }
@@ -311,7 +311,7 @@
     auto request = spec();
     submit(request);
     retry(request, attempt_outcome::lost);
-    pass(milliseconds(700));
+    advance(milliseconds(700));
     REQUIRE(refusal(request.number));
     CHECK(refusal(request.number)->ran == run_state::unknown);
 }
@@ -326,7 +326,7 @@
         auto request = spec();
         submit(request);
         if (startedOn(request.number).empty()) {
-            pass(milliseconds(1100));
+            advance(milliseconds(1100));
             continue;
         }
         retry(request, attempt_outcome::lost);
@@ -334,7 +334,7 @@
             ++retried;
             finish(request.number);
         }
-        pass(milliseconds(1100));
+        advance(milliseconds(1100));
     }
     // A reserve of 20, and one retry for every ten requests.
     CHECK(retried <= 20 + 40);
@@ -355,7 +355,7 @@
     announce("t3");
     retry(bad, attempt_outcome::crashed);
     retry(innocent, attempt_outcome::crashed);
-    pass(milliseconds(20));
+    advance(milliseconds(20));
     // Each runs alone now, on a target of its own.
     REQUIRE_FALSE(startedOn(bad.number).empty());
     REQUIRE_FALSE(startedOn(innocent.number).empty());
@@ -365,18 +365,18 @@
     REQUIRE(refusal(bad.number));
     CHECK(refusal(bad.number)->kind == error_kind::crashes_targets);
     CHECK(condemned == 1);
-    auto resend = spec();
-    resend.fingerprint = bad.fingerprint;
-    submit(resend);
-    REQUIRE(refusal(resend.number));
-    CHECK(refusal(resend.number)->ran == run_state::not_run);
+    auto duplicate = spec();
+    duplicate.fingerprint = bad.fingerprint;
+    submit(duplicate);
+    REQUIRE(refusal(duplicate.number));
+    CHECK(refusal(duplicate.number)->ran == run_state::not_run);
     SECTION("until an operator withdraws the verdict")
     {
         subject().onVerdictWithdrawn(bad.fingerprint);
-        auto again = spec();
-        again.fingerprint = bad.fingerprint;
-        submit(again);
-        CHECK_FALSE(refusal(again.number));
+        auto retried = spec();
+        retried.fingerprint = bad.fingerprint;
+        submit(retried);
+        CHECK_FALSE(refusal(retried.number));
     }
 }
 
@@ -417,7 +417,7 @@
         waiting.deadline = now + milliseconds(200);
         submit(waiting);
         CHECK_FALSE(refusal(waiting.number));
-        pass(milliseconds(200));
+        advance(milliseconds(200));
         REQUIRE(refusal(waiting.number));
         CHECK(refusal(waiting.number)->ran == run_state::not_run);
     }
@@ -432,14 +432,14 @@
     first.promptTokens = 1030;
     first.chain = { 1, 2, 3, 4 };
     submit(first);
-    std::string home = startedOn(first.number);
+    std::string preferred = startedOn(first.number);
     finish(first.number);
     for (int index = 0; index < 3; ++index) {
         auto back = spec();
         back.promptTokens = 1030;
         back.chain = first.chain;
         submit(back);
-        CHECK(startedOn(back.number) == home);
+        CHECK(startedOn(back.number) == preferred);
     }
 }
 
@@ -461,8 +461,8 @@
         CHECK(planOf(back.number).cachedBlocks == 4);
         attempt_report evicted; // the blocks were gone
         evicted.firstToken = milliseconds(220);
-        evicted.held = milliseconds(300);
-        take(subject().finished(back.number, evicted, now));
+        evicted.duration = milliseconds(300);
+        apply(subject().onFinished(back.number, evicted, now));
     }
     int running = 0;
     for (int index = 0; index < 4; ++index) {
@@ -503,37 +503,37 @@
         if (view.ownerOf(name, "east") == "entry-2")
             foreign = name;
     }
-    subject().onEntryHeard(peer);
+    subject().onPeerState(peer);
     announce(foreign);
     auto request = spec();
     submit(request);
-    REQUIRE(asked.size() == 1);
-    CHECK(asked[0].owner == "entry-2");
+    REQUIRE(permitRequests.size() == 1);
+    CHECK(permitRequests[0].owner == "entry-2");
     CHECK(startedOn(request.number).empty());
     SECTION("granted: it starts")
     {
-        take(subject().permitAnswered(request.number, "entry-2", { true, 77, 8, {} }, now));
+        apply(subject().onPermitAnswer(request.number, "entry-2", { true, 77, 8, {} }, now));
         CHECK(startedOn(request.number) == foreign);
         finish(request.number);
         CHECK(released == 1);
     }
     SECTION("refused: it waits and asks again")
     {
-        take(subject().permitAnswered(request.number, "entry-2", { false, 0, 0, milliseconds(10) }, now));
-        pass(milliseconds(20));
-        CHECK(asked.size() == 2);
+        apply(subject().onPermitAnswer(request.number, "entry-2", { false, 0, 0, milliseconds(10) }, now));
+        advance(milliseconds(20));
+        CHECK(permitRequests.size() == 2);
     }
     SECTION("granted after the caller has left: the permit goes back")
     {
-        take(subject().cancel(request.number, now));
-        take(subject().permitAnswered(request.number, "entry-2", { true, 77, 8, {} }, now));
+        apply(subject().cancel(request.number, now));
+        apply(subject().onPermitAnswer(request.number, "entry-2", { true, 77, 8, {} }, now));
         CHECK(released == 1);
         CHECK(startedOn(request.number).empty());
     }
     SECTION("the owner dies: this entry owns the target and starts the request")
     {
-        take(subject().permitUnanswered(request.number, now));
-        pass(milliseconds(1600));
+        apply(subject().onOwnerUnreachable(request.number, now));
+        advance(milliseconds(1600));
         announce(foreign);
         CHECK(startedOn(request.number) == foreign);
     }
--- a/tests/core/plumfold_event_cursor_tests.cpp
+++ b/tests/core/plumfold_event_cursor_tests.cpp
@@ -9,10 +9,10 @@
     event_cursor cursor;
     CHECK(cursor.feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
     CHECK(cursor.lastId() == 1);
-    cursor.beginRun();
+    cursor.startAttempt();
     CHECK(cursor.feed("id: 2\ndata: b\n\n") == "id: 2\ndata: b\n\n");
     CHECK(cursor.lastId() == 2);
-    CHECK(cursor.takeRest().empty());
+    CHECK(cursor.takePartialEvent().empty());
 }
 
 TEST_CASE("Events pass on as soon as they are whole, whatever pieces they come in", "[event_cursor]")
--- a/tests/core/plumfold_fair_queue_tests.cpp
+++ b/tests/core/plumfold_fair_queue_tests.cpp
@@ -77,7 +77,7 @@
     queue.push(waiting(1, "a"));
     queue.push(waiting(2, "b"));
     queue.start(1);
-    queue.giveBack(waiting(1, "a"));
+    queue.requeue(waiting(1, "a"));
     CHECK(queue.front({})->customer == "a");
     CHECK(queue.waitingCost() == 200);
     CHECK(queue.expire(instant(std::chrono::hours(1))).size() == 2);
--- a/tests/core/plumfold_report_relay_tests.cpp
+++ b/tests/core/plumfold_report_relay_tests.cpp
@@ -23,21 +23,21 @@
     bool sameDomain = GENERATE(true, false);
     report_relay relay(sameDomain, milliseconds(1000));
     instant now {};
-    CHECK(relay.take(report(1, 0), now));
+    CHECK(relay.markSentIfDue(report(1, 0), now));
     now += milliseconds(200);
-    CHECK(relay.take(report(2, 5), now) == sameDomain);
+    CHECK(relay.markSentIfDue(report(2, 5), now) == sameDomain);
     now += milliseconds(200);
-    CHECK_FALSE(relay.take(report(3, sameDomain ? 5 : 0), now));
+    CHECK_FALSE(relay.markSentIfDue(report(3, sameDomain ? 5 : 0), now));
     now += milliseconds(1000);
-    CHECK(relay.take(report(4, 5), now));
-    CHECK_FALSE(relay.take(report(4, 5), now));
+    CHECK(relay.markSentIfDue(report(4, 5), now));
+    CHECK_FALSE(relay.markSentIfDue(report(4, 5), now));
 }
 
 TEST_CASE("What decides whether a target may be used is relayed at once", "[relay][leaving]")
 {
     report_relay relay(false, milliseconds(1000));
     instant now {};
-    CHECK(relay.take(report(1, 0), now));
+    CHECK(relay.markSentIfDue(report(1, 0), now));
     auto next = report(2, 0);
     SECTION("that it leaves")
     {
@@ -51,15 +51,15 @@
     {
         next.models = { { "base", "v2", {} } };
     }
-    CHECK(relay.take(next, now));
+    CHECK(relay.markSentIfDue(next, now));
 }
 
 TEST_CASE("A silent target is not kept known by its relays", "[relay]")
 {
     report_relay relay(true, milliseconds(1000));
     instant now {};
-    CHECK(relay.take(report(1, 0), now));
-    CHECK_FALSE(relay.take(report(1, 0), now + milliseconds(5000)));
+    CHECK(relay.markSentIfDue(report(1, 0), now));
+    CHECK_FALSE(relay.markSentIfDue(report(1, 0), now + milliseconds(5000)));
     relay.reset();
-    CHECK(relay.take(report(1, 0), now + milliseconds(5000)));
+    CHECK(relay.markSentIfDue(report(1, 0), now + milliseconds(5000)));
 }
