--- a/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
@@ -12,73 +12,78 @@
 
 namespace plumfold::core {
 
-/// A request that asks for a target.
+/// A request to be dispatched to a target.
 struct request_spec {
     request_number number = 0;
     std::string customer;
     std::string model; ///< Empty for a call to a service.
     std::string service; ///< Empty for a call to a model.
     std::string adapter;
-    std::string version; ///< Pins the weight version of a run under way; empty for the one in force.
-    std::uint64_t fingerprint = 0; ///< The same for every resend of the request.
+    std::string version; ///< Pinned weight version of a partly delivered answer; empty for the current one.
+    std::uint64_t fingerprint = 0; ///< Identifies the request across retries, also those of the caller.
     std::uint32_t promptTokens = 0;
     std::uint32_t maxTokens = 0;
     prompt_chain chain;
-    std::uint32_t storeBlocks = 0; ///< Blocks at the start of the chain that a store holds.
+    std::uint32_t storeBlocks = 0; ///< Leading blocks of the chain that a store holds.
     std::uint64_t storeBytes = 0; ///< Size of those blocks.
-    std::uint8_t priority = 1;
+    std::uint8_t priority = 1; ///< Lower goes first within its customer.
     instant deadline {};
     bool idempotent = true;
 };
 
-/// Where a request goes and what is expected there.
+/// The target chosen for a request, with its permit and the expected cost.
 struct dispatch_plan {
     std::string target;
     std::string address;
     std::string failureDomain; ///< Of the target.
     std::uint64_t incarnation = 0;
-    std::string owner; ///< Entry that gave the permit.
+    std::string owner; ///< Entry that grants the target's permits; empty when none is known.
     permit_id permit = 0;
-    std::uint32_t window = 0; ///< Of the target when the permit was given; 1 while it may be cold.
+    std::uint32_t window = 0; ///< The target's limit when the permit was granted; 1 while it may be cold.
     std::string version;
-    std::uint32_t cachedBlocks = 0; ///< Probably in the target's own cache.
-    std::uint32_t importBlocks = 0; ///< To be imported from the store.
-    milliseconds expectedFirstToken { 0 };
-    bool alone = false;
+    std::uint32_t cachedBlocks = 0; ///< Expected in the target's own prefix cache.
+    std::uint32_t importBlocks = 0; ///< To be fetched from the store.
+    milliseconds expectedFirstToken { 0 }; ///< From the start of the attempt.
+    bool alone = false; ///< No other request may run on the target at the same time.
 };
 
-/// How an attempt ended, as the relay saw it.
+/// Outcome and timing of one attempt.
 struct attempt_report {
     attempt_outcome outcome = attempt_outcome::succeeded;
-    milliseconds firstToken { 0 };
-    milliseconds duration { 0 };
-    std::uint32_t cachedTokens = 0; ///< As the target reported them.
-    bool answerStarted = false; ///< Whether the caller has been sent a token.
+    milliseconds firstToken { 0 }; ///< From the start of the attempt.
+    milliseconds duration { 0 }; ///< From the start of the attempt to its end.
+    std::uint32_t cachedTokens = 0; ///< Prompt tokens that the target reported as cached.
+    bool answerStarted = false; ///< Whether a token was delivered to the caller.
 };
 
+/// Send the request to the planned target.
 struct start_action {
     request_number request;
     dispatch_plan plan;
 };
+/// Answer the request with an error.
 struct refuse_action {
     request_number request;
     error_info error;
 };
+/// Request a permit from another entry.
 struct acquire_permit_action {
     request_number request;
     std::string owner;
     permit_request permitRequest;
 };
+/// Return a permit to the entry that granted it.
 struct release_permit_action {
     std::string owner;
     permit_id permit;
     attempt_measure measure;
 };
+/// Renew the leases of permits that another entry granted.
 struct renew_permits_action {
     std::string owner;
     std::vector<permit_id> permits;
 };
-/// A request has been found to crash targets; control must know.
+/// Report a poison request to control.
 struct condemn_action {
     std::uint64_t fingerprint;
     std::uint32_t crashes;
@@ -87,24 +92,22 @@
 using dispatch_action = std::variant<start_action, refuse_action, acquire_permit_action,
     release_permit_action, renew_permits_action, condemn_action>;
 
-/// Limits of one entry.
+/// Settings of one entry's dispatcher.
 struct dispatch_options {
     std::string entry;
     std::string failureDomain;
-    milliseconds maxViewAge {
-        3000
-    }; ///< Age of the configuration up to which other failure domains may be used.
-    milliseconds targetExpiry { 3000 };
-    milliseconds entryExpiry { 1500 };
-    milliseconds permitLease { 2000 };
-    milliseconds maxQueueWait { 2000 }; ///< Requests that would wait longer are refused at once.
-    milliseconds maxTimeToFirstToken {
-        890
-    }; ///< Requests that would wait and then miss it are refused at once.
-    std::size_t maxWaiting = 512;
-    std::size_t maxKnownBlocks = 1'000'000;
-    double retryShare = 0.1;
-    double retryReserve = 20;
+    /// Age of the last quorum confirmation above which only the local failure domain is used.
+    milliseconds maxViewAge { 3000 };
+    milliseconds targetExpiry { 3000 }; ///< Silence after which a target is removed.
+    milliseconds entryExpiry { 1500 }; ///< Silence after which another entry counts as dead.
+    milliseconds permitLease { 2000 }; ///< Lifetime of a permit without renewal.
+    milliseconds maxQueueWait { 2000 }; ///< Requests predicted to wait longer are refused on arrival.
+    /// Model requests that have to wait and are predicted to exceed this are refused on arrival.
+    milliseconds maxTimeToFirstToken { 890 };
+    std::size_t maxWaiting = 512; ///< Waiting requests of all customers.
+    std::size_t maxKnownBlocks = 1'000'000; ///< Size limit of the prefix index.
+    double retryShare = 0.1; ///< Retries that each new request adds to the retry budget.
+    double retryReserve = 20; ///< Largest retry budget, and the initial one.
     std::uint64_t linkBytesPerSecond = 125'000'000;
     std::uint64_t seed = 1;
 };
--- a/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
@@ -16,49 +16,68 @@
 
 namespace plumfold::core {
 
-/// Every decision of one entry about its requests: which waits, which starts, where, which is refused. One
-/// duty thread owns it. Calls return what has to be done.
+/// Admits, queues, routes and retries the requests of one entry. Not thread-safe: one thread owns it. It does
+/// no I/O; calls return the actions that the caller has to carry out.
 class dispatcher {
 public:
     explicit dispatcher(dispatch_options options);
 
     using actions = std::vector<dispatch_action>;
 
-    /// A request asks for a target. It ends up in exactly one start or refuse action, or in cancel().
+    /// Admits or refuses a new request. An admitted request stays known until it is refused, cancelled or
+    /// finished.
+    /// @return start, refuse and permit actions, also of other requests that can be dispatched now.
     actions submit(const request_spec& spec, instant now);
 
-    /// The owner of a target's permits has answered.
+    /// Applies the answer of a target's permit owner to an acquire_permit_action. A permit granted after the
+    /// request was cancelled is released again.
     actions onPermitAnswer(
         request_number request, const std::string& owner, const permit_answer& answer, instant now);
 
-    /// The owner could not be asked.
+    /// Requeues a request whose permit owner did not answer, and backs off from that target.
     actions onOwnerUnreachable(request_number request, instant now);
 
-    /// A started request has ended; its permit goes back.
+    /// Ends a running request: releases its permit and records the outcome.
     actions onFinished(request_number request, const attempt_report& report, instant now);
 
-    /// A started request's attempt has failed and the caller still waits. Either starts it again or refuses
-    /// it.
-    /// @param next the request as it goes on, with the same number; its version is pinned when tokens were
+    /// Ends a failed attempt of a running request, then queues the request for another attempt or refuses it.
+    /// @param next the remaining request, with the same number; its weight version is pinned once tokens were
     /// delivered.
     actions retry(const request_spec& next, const attempt_report& report, instant now);
 
-    /// The caller has left before the request started.
+    /// Removes a request whose caller disconnected before it started; has no effect on a running one.
     actions cancel(request_number request, instant now);
 
+    /// Applies a target's report.
+    /// @param sentAt when the target sent it; reports older than the known one are ignored.
     actions onReport(const target_report& report, instant sentAt, instant now);
     void onCacheEvents(const cache_events& events) { m_prefixes.apply(events); }
+
+    /// Applies a configuration update.
+    /// @param applied set to whether the update fits the known revision; if not, the caller must fetch the
+    /// whole configuration.
     actions onConfiguration(const configuration_update& update, bool& applied, instant now);
+
+    /// Notes that a quorum of control VMs confirmed the configuration.
     void onConfigurationConfirmed(instant now) { m_view.confirmed(now); }
     void onPeerState(const entry_peer_state& peer) { m_entries.onHeard(peer); }
+
+    /// Merges a suspect that another entry or control reported.
     void onSuspect(const suspect_state& state, instant now) { m_suspects.merge(state, now); }
     void onVerdictWithdrawn(std::uint64_t fingerprint) { m_suspects.withdraw(fingerprint); }
+
+    /// @param bytes reserved on this entry's link.
     void onTransferReserved(std::uint64_t bytes, instant now) { m_link.reserve(bytes, now); }
     bool allowsBackgroundTransfer(instant now) const { return m_link.allowsBackground(now); }
+
+    /// Expires targets, entries, permits, suspects and overdue requests, renews permits and dispatches
+    /// waiting requests. To be called periodically.
     actions tick(instant now);
+
+    /// Stops this entry from owning targets, before it shuts down.
     void setLeaving() { m_entries.setLeaving(); }
 
-    /// Another entry asks for a permit of a target that this entry owns.
+    /// Grants or denies a permit to another entry; denied when this entry does not own the target.
     permit_answer acquireForPeer(const permit_request& request, instant now);
     actions releaseForPeer(permit_id permit, const attempt_measure& measure, instant now);
     void renewForPeer(const std::string& holder, const std::vector<permit_id>& permits, instant now);
@@ -77,14 +96,14 @@
         request_spec spec;
         request_stage stage = request_stage::waiting;
         dispatch_plan plan;
-        std::string permitTarget; // target whose owner is being asked
-        std::set<std::string> excluded; // targets that failed this request
-        bool retried = false;
+        std::string permitTarget; // target of the last permit request to another entry
+        std::set<std::string> excluded; // targets of failed attempts
+        bool retried = false; // an earlier attempt may have run
     };
-    struct request_class { // requests that compete for the same targets
+    struct request_class { // requests for the same service, or for the same model, adapter and version
         fair_queue queue;
         wait_predictor predictor;
-        instant lastEligibleAt {};
+        instant lastEligibleAt {}; // when a target of this class was last eligible
     };
 
     static std::string classOf(const request_spec& spec);
@@ -120,8 +139,8 @@
     router m_router;
     std::map<std::string, request_class> m_classes;
     std::map<request_number, pending_request> m_requests;
-    std::map<std::string, std::uint32_t> m_runningByCustomer; // by customer
-    std::map<std::string, instant> m_permitBackOffUntil; // by target, from refused permits
+    std::map<std::string, std::uint32_t> m_runningByCustomer;
+    std::map<std::string, instant> m_permitBackOffUntil; // by target, after a denied permit
     std::size_t m_running = 0;
     instant m_nextRenewal {};
 };
--- a/packages/core/src/plumfold_dispatcher.cpp
+++ b/packages/core/src/plumfold_dispatcher.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-// A request may wait this long for a target of its kind to appear.
+// How long a request waits while no target may run it, before it is refused.
 constexpr milliseconds noTargetTimeout { 500 };
+// How long a target is avoided after a failed attempt, or after it refused a request.
 constexpr milliseconds backOffAfterFailure { 1000 };
 constexpr milliseconds backOffAfterRefusal { 100 };
 constexpr milliseconds suspicionMaxAge { 600'000 };
+// Retry-After values sent to callers.
 constexpr milliseconds retryAfterNoTarget { 1000 };
 constexpr milliseconds retryAfterShort { 500 };
 constexpr milliseconds ownerUnreachableBackOff { 200 };
@@ -83,7 +85,7 @@
             "too many requests of this customer wait: come back later or ask for a higher limit",
             retryAfterShort);
     milliseconds wait = requestClass.predictor.wait(requestClass.queue.waitingCost(), now);
-    // Taking more than can be answered in time would make everybody late.
+    // Admitting a request that will miss the limit would only delay the requests behind it.
     milliseconds afterStart = requestClass.predictor.firstTokenAfterStart();
     bool late = wait > milliseconds(0) && wait + afterStart > m_options.maxTimeToFirstToken;
     if (wait > m_options.maxQueueWait || (late && !spec.model.empty()))
@@ -139,7 +141,7 @@
 {
     auto found = m_requests.find(request);
     if (found != m_requests.end()) {
-        // What was sent to a target earlier may have run there.
+        // An earlier attempt may have run on its target.
         if (found->second.retried)
             error.ran = run_state::unknown;
         m_requests.erase(found);
@@ -147,7 +149,7 @@
     out.push_back(refuse_action { request, std::move(error) });
 }
 
-// ---------------------------------------------------------------- starting
+// ---------------------------------------------------------------- dispatching
 
 std::set<std::string> dispatcher::customersAtLimit() const
 {
@@ -168,8 +170,7 @@
 
 void dispatcher::dispatchClass(request_class& requestClass, instant now, actions& out)
 {
-    // A request that cannot start now, for instance a suspect that must run alone, holds up its own customer
-    // only.
+    // A request that cannot start now, such as a suspect that must run alone, blocks only its own customer.
     std::set<std::string> blocked = customersAtLimit();
     while (const waiting_request* front = requestClass.queue.front(blocked)) {
         request_number number = front->request;
@@ -263,7 +264,7 @@
     actions out;
     auto found = m_requests.find(request);
     if (found == m_requests.end() || found->second.stage != request_stage::awaiting_permit) {
-        // The caller left while the owner was asked.
+        // The request was cancelled while the permit request was in progress.
         if (answer.granted)
             out.push_back(release_permit_action {
                 owner, answer.permit, { attempt_outcome::cancelled, {}, {}, false } });
@@ -303,10 +304,10 @@
     requestClass.lastEligibleAt = now;
 }
 
-// ---------------------------------------------------------------- ending
+// ---------------------------------------------------------------- completion and retry
 
-// What a warm target needs for the part that it really had to compute. A cache that holds less than was hoped
-// for must not look like a cold start.
+// Time to first token that a warm target needs for the tokens that it really had to prefill. Without the
+// reported cache hits, an unexpected cache miss would look like a cold start.
 milliseconds dispatcher::expectedFirstTokenOf(
     const pending_request& request, const attempt_report& report) const
 {
--- a/packages/core/src/plumfold_dispatcher_updates.cpp
+++ b/packages/core/src/plumfold_dispatcher_updates.cpp
@@ -1,4 +1,4 @@
-// What a dispatcher does with news of targets, the configuration and other entries, and as time goes on.
+// Updates from targets, control and other entries, and periodic work of the dispatcher.
 
 #include "plumfold/core/plumfold_dispatcher.hpp"
 
--- a/tests/core/plumfold_dispatcher_tests.cpp
+++ b/tests/core/plumfold_dispatcher_tests.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t maxBatch = 4;
 
-/// One dispatcher with a configuration and a clock.
+/// A dispatcher with a configuration and a clock that tests advance.
 class dispatch_fixture {
 public:
     dispatch_fixture()
@@ -85,7 +85,7 @@
 
     void submit(const request_spec& what) { apply(m_dispatcher.submit(what, now)); }
 
-    /// @return the target where a request was started last, or an empty name.
+    /// @return the target of a request's last start, or an empty name.
     std::string startedOn(request_number request) const
     {
         auto found = m_started.find(request);
@@ -146,7 +146,7 @@
     dispatcher& subject() { return m_dispatcher; }
 
 private:
-    // As if the target had been known for longer than a lease: its load is its own window, and free.
+    // The load of the first report sets the target's concurrency limit; the second report frees it again.
     void reportWarm(target_report report)
     {
         for (std::uint32_t running : { report.running, 0u }) {
@@ -174,14 +174,14 @@
 
 } // namespace
 
-TEST_CASE_METHOD(
-    dispatch_fixture, "A target that leaves or is taken out receives no new work", "[dispatch][leaving]")
+TEST_CASE_METHOD(dispatch_fixture, "A target that is leaving or out of service receives no new requests",
+    "[dispatch][leaving]")
 {
     announce("t1");
     auto first = spec();
     submit(first);
     CHECK(startedOn(first.number) == "t1");
-    SECTION("its own word counts")
+    SECTION("the target reports that it is leaving")
     {
         target_report leaving;
         leaving.name = "t1";
@@ -192,19 +192,19 @@
         leaving.sequence = 1000;
         apply(subject().onReport(leaving, now, now));
     }
-    SECTION("so does the operators'")
+    SECTION("an operator has taken it out of service")
     {
         change(record(target_record { "t1", false, false }));
     }
-    SECTION("and its failure domain's")
+    SECTION("its failure domain is out of service")
     {
         change(record(failure_domain_record { "east", false, 1 }));
     }
-    SECTION("and a failure domain that was never configured")
+    SECTION("its failure domain is not configured")
     {
         change(record_key { record_kind::failure_domain, "east" });
     }
-    SECTION("a silent target is forgotten")
+    SECTION("it has not reported within the expiry")
     {
         advance(milliseconds(3001));
     }
@@ -218,24 +218,24 @@
     CHECK(refusal(second.number)->retryAfter);
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A cut-off entry sends work only to targets of its own failure domain",
-    "[dispatch][cut]")
+TEST_CASE_METHOD(dispatch_fixture,
+    "An entry that is cut off from control dispatches only within its failure domain", "[dispatch][cut]")
 {
-    announce("far", "west");
+    announce("remote", "west");
     auto first = spec();
     submit(first);
-    CHECK(startedOn(first.number) == "far");
+    CHECK(startedOn(first.number) == "remote");
     now += milliseconds(3001);
-    announce("far", "west");
+    announce("remote", "west");
     auto second = spec();
     submit(second);
     CHECK(startedOn(second.number).empty());
-    announce("near", "east");
-    CHECK(startedOn(second.number) == "near");
+    announce("local", "east");
+    CHECK(startedOn(second.number) == "local");
 }
 
 TEST_CASE_METHOD(
-    dispatch_fixture, "A new request never runs on another weight version", "[dispatch][version]")
+    dispatch_fixture, "A new request runs only on the current weight version", "[dispatch][version]")
 {
     announce("old", "east", 1, "v1");
     change(record(weight_version_record { "base", "v2" }));
@@ -243,15 +243,15 @@
     submit(fresh);
     CHECK(startedOn(fresh.number).empty());
     auto underWay = spec();
-    underWay.version = "v1"; // began before the swap
+    underWay.version = "v1"; // started before the version change
     submit(underWay);
     CHECK(startedOn(underWay.number) == "old");
     announce("new", "east", 1, "v2");
     CHECK(startedOn(fresh.number) == "new");
 }
 
-TEST_CASE_METHOD(
-    dispatch_fixture, "A cold target gets one request until it has shown progress", "[dispatch][cold]")
+TEST_CASE_METHOD(dispatch_fixture,
+    "A cold target runs one request at a time until its answers raise the limit", "[dispatch][cold]")
 {
     announce("t1", "east", 1, "v1", 0);
     std::vector<request_spec> specs;
@@ -263,7 +263,7 @@
         return std::count_if(
             specs.begin(), specs.end(), [&](const auto& s) { return !startedOn(s.number).empty(); });
     };
-    // No warm target is known, so only many answers open the window.
+    // No warm target is known for comparison, so only a number of answers raises the limit.
     for (std::size_t index = 0; index < 16; ++index) {
         CHECK(started() == static_cast<std::ptrdiff_t>(index) + 1);
         finish(specs[index].number);
@@ -274,7 +274,7 @@
     CHECK(started() == 18);
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A request that is not idempotent is never dispatched twice",
+TEST_CASE_METHOD(dispatch_fixture, "A request that is not idempotent is not retried once it may have run",
     "[dispatch][at-most-once]")
 {
     announceService("s1");
@@ -285,7 +285,7 @@
     order.idempotent = false;
     submit(order);
     REQUIRE_FALSE(startedOn(order.number).empty());
-    SECTION("after its target was lost the outcome is unknown")
+    SECTION("the target was lost or crashed: the outcome is unknown")
     {
         auto outcome = GENERATE(attempt_outcome::lost, attempt_outcome::crashed);
         retry(order, outcome);
@@ -294,7 +294,7 @@
         CHECK(refusal(order.number)->kind == error_kind::outcome_unknown);
         CHECK(refusal(order.number)->ran == run_state::unknown);
     }
-    SECTION("unless no byte reached the target or it said that it did not run")
+    SECTION("no byte reached the target or it refused the request: another target is tried")
     {
         auto outcome = GENERATE(attempt_outcome::not_reached, attempt_outcome::refused);
         std::string first = startedOn(order.number);
@@ -304,7 +304,7 @@
     }
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A refusal after an attempt that may have run does not say not run",
+TEST_CASE_METHOD(dispatch_fixture, "An error after an attempt that may have run does not report not_run",
     "[dispatch][truth]")
 {
     announce("t1");
@@ -317,7 +317,7 @@
 }
 
 TEST_CASE_METHOD(
-    dispatch_fixture, "Retries are bounded by a budget when every target fails", "[dispatch][retry]")
+    dispatch_fixture, "The retry budget limits retries when every target fails", "[dispatch][retry]")
 {
     int retried = 0;
     for (int index = 0; index < 400; ++index) {
@@ -336,13 +336,14 @@
         }
         advance(milliseconds(1100));
     }
-    // A reserve of 20, and one retry for every ten requests.
+    // The initial budget of 20, and one retry for every ten requests.
     CHECK(retried <= 20 + 40);
     CHECK(retried > 0);
 }
 
 TEST_CASE_METHOD(dispatch_fixture,
-    "A request that crashes targets is condemned after two and innocents are served", "[dispatch][suspects]")
+    "A request that crashes two targets is condemned and the requests beside it are served",
+    "[dispatch][suspects]")
 {
     announce("t1");
     auto bad = spec();
@@ -356,7 +357,7 @@
     retry(bad, attempt_outcome::crashed);
     retry(innocent, attempt_outcome::crashed);
     advance(milliseconds(20));
-    // Each runs alone now, on a target of its own.
+    // Both are suspects now and run alone, so each is on a target of its own.
     REQUIRE_FALSE(startedOn(bad.number).empty());
     REQUIRE_FALSE(startedOn(innocent.number).empty());
     CHECK(startedOn(bad.number) != startedOn(innocent.number));
@@ -370,7 +371,7 @@
     submit(duplicate);
     REQUIRE(refusal(duplicate.number));
     CHECK(refusal(duplicate.number)->ran == run_state::not_run);
-    SECTION("until an operator withdraws the verdict")
+    SECTION("an operator withdraws the verdict")
     {
         subject().onVerdictWithdrawn(bad.fingerprint);
         auto retried = spec();
@@ -380,7 +381,8 @@
     }
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A customer's limit leaves room for others", "[dispatch][limits]")
+TEST_CASE_METHOD(
+    dispatch_fixture, "A customer at its limit does not block other customers", "[dispatch][limits]")
 {
     for (const char* name : { "t1", "t2", "t3" })
         announce(name);
@@ -400,7 +402,7 @@
 }
 
 TEST_CASE_METHOD(
-    dispatch_fixture, "Work that cannot make its deadline is refused at once", "[dispatch][deadline]")
+    dispatch_fixture, "A request that cannot meet its deadline is refused at once", "[dispatch][deadline]")
 {
     announce("t1");
     auto late = spec();
@@ -409,7 +411,7 @@
     REQUIRE(refusal(late.number));
     CHECK(refusal(late.number)->kind == error_kind::deadline_unreachable);
     CHECK(refusal(late.number)->retryAfter);
-    SECTION("and so is work whose deadline passes while it waits")
+    SECTION("a waiting request is refused when its deadline passes")
     {
         for (int index = 0; index < 4; ++index)
             submit(spec());
@@ -423,7 +425,7 @@
     }
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A returning prompt goes where its blocks are unless that target is full",
+TEST_CASE_METHOD(dispatch_fixture, "A repeated prompt goes to the target that has its blocks cached",
     "[dispatch][affinity]")
 {
     announce("t1");
@@ -443,8 +445,8 @@
     }
 }
 
-TEST_CASE_METHOD(dispatch_fixture,
-    "A cache that held less than was hoped for does not look like a cold start", "[dispatch][cold]")
+TEST_CASE_METHOD(
+    dispatch_fixture, "An unexpected cache miss does not count as a cold start", "[dispatch][cold]")
 {
     announce("t1");
     auto first = spec();
@@ -459,7 +461,7 @@
         submit(back);
         REQUIRE_FALSE(startedOn(back.number).empty());
         CHECK(planOf(back.number).cachedBlocks == 4);
-        attempt_report evicted; // the blocks were gone
+        attempt_report evicted; // no cached tokens reported
         evicted.firstToken = milliseconds(220);
         evicted.duration = milliseconds(300);
         apply(subject().onFinished(back.number, evicted, now));
@@ -473,8 +475,8 @@
     CHECK(running == 4);
 }
 
-TEST_CASE_METHOD(
-    dispatch_fixture, "Blocks are imported only where that is faster than computing them", "[dispatch][link]")
+TEST_CASE_METHOD(dispatch_fixture,
+    "Blocks are fetched from the store only when that is faster than recomputing them", "[dispatch][link]")
 {
     announce("t1");
     auto cheap = spec();
@@ -491,8 +493,8 @@
     CHECK(planOf(slow.number).importBlocks == 0);
 }
 
-TEST_CASE_METHOD(
-    dispatch_fixture, "Permits of targets that another entry owns are asked for", "[dispatch][permits]")
+TEST_CASE_METHOD(dispatch_fixture,
+    "A permit for a target that another entry owns is requested from that entry", "[dispatch][permits]")
 {
     std::string foreign;
     entry_membership view("entry-1", "east", milliseconds(1500));
@@ -510,27 +512,27 @@
     REQUIRE(permitRequests.size() == 1);
     CHECK(permitRequests[0].owner == "entry-2");
     CHECK(startedOn(request.number).empty());
-    SECTION("granted: it starts")
+    SECTION("granted: the request starts")
     {
         apply(subject().onPermitAnswer(request.number, "entry-2", { true, 77, 8, {} }, now));
         CHECK(startedOn(request.number) == foreign);
         finish(request.number);
         CHECK(released == 1);
     }
-    SECTION("refused: it waits and asks again")
+    SECTION("denied: the request waits and a permit is requested again")
     {
         apply(subject().onPermitAnswer(request.number, "entry-2", { false, 0, 0, milliseconds(10) }, now));
         advance(milliseconds(20));
         CHECK(permitRequests.size() == 2);
     }
-    SECTION("granted after the caller has left: the permit goes back")
+    SECTION("granted after the request was cancelled: the permit is released")
     {
         apply(subject().cancel(request.number, now));
         apply(subject().onPermitAnswer(request.number, "entry-2", { true, 77, 8, {} }, now));
         CHECK(released == 1);
         CHECK(startedOn(request.number).empty());
     }
-    SECTION("the owner dies: this entry owns the target and starts the request")
+    SECTION("the owner fails: this entry becomes the owner and starts the request")
     {
         apply(subject().onOwnerUnreachable(request.number, now));
         advance(milliseconds(1600));
