--- a/packages/core/include/plumfold/core/plumfold_suspect_registry.hpp
+++ b/packages/core/include/plumfold/core/plumfold_suspect_registry.hpp
@@ -8,46 +8,48 @@
 
 namespace plumfold::core {
 
-/// Crashes, the last of them alone on a target, after which a request is refused.
+/// Crashes after which a request is condemned; during the last of them it must have run alone.
 inline constexpr std::uint32_t crashesToCondemn = 2;
 
-/// What is known of a request, by its fingerprint, after targets have crashed under it.
+/// Whether a request may be a poison request, one that crashes targets.
 enum class suspicion {
     none,
-    suspect, ///< Was running when a target crashed. Runs alone.
-    condemned, ///< Crashed a target while it ran alone. Is refused.
+    suspect, ///< Was running when a target crashed; now runs alone.
+    condemned, ///< Crashed a target while running alone; now refused.
 };
 
-/// One suspect as entries tell each other.
+/// A suspect as exchanged between entries.
 struct suspect_state {
     std::uint64_t fingerprint = 0;
     std::uint32_t crashes = 0;
 };
 
-/// Requests that were running when targets crashed. The first crash makes every request of the batch a
-/// suspect; a suspect runs alone, so the second crash has only one request to blame and innocents are
-/// cleared.
+/// Finds poison requests. The first crash makes every request that ran on the target a suspect. Suspects run
+/// alone, so a second crash identifies the cause, and the other requests are cleared when they succeed.
 class suspect_registry {
 public:
-    /// @param maxAge how long a suspicion lasts without news.
+    /// @param maxAge how long a suspicion lasts after the last new crash.
     explicit suspect_registry(milliseconds maxAge);
 
+    /// @param fingerprint of the request.
     suspicion suspicionOf(std::uint64_t fingerprint, instant now) const;
 
-    /// Counts a crash under a request.
-    /// @return the suspicion from now on.
+    /// Records that a target crashed while it ran the request.
+    /// @param alone whether no other request ran on the target.
+    /// @return the resulting suspicion.
     suspicion onCrash(std::uint64_t fingerprint, bool alone, instant now);
 
-    /// Clears a suspect that has run to its end.
+    /// Clears a suspect that has succeeded; a condemned request stays condemned.
     void onSuccess(std::uint64_t fingerprint);
 
-    /// Takes in what another entry or control knows.
+    /// Merges the state that another entry or control reported; the higher crash count wins.
     void merge(const suspect_state& state, instant now);
 
+    /// Removes the verdict on a request.
     void withdraw(std::uint64_t fingerprint) { m_suspects.erase(fingerprint); }
     void expire(instant now);
 
-    /// @return the suspects, at most as many as one gossip message carries.
+    /// @return the suspects and condemned requests, at most as many as fit into one gossip message.
     std::vector<suspect_state> list() const;
 
 private:
--- a/packages/core/src/plumfold_fair_queue.cpp
+++ b/packages/core/src/plumfold_fair_queue.cpp
@@ -20,7 +20,7 @@
     auto [place, wasIdle] = m_customers.try_emplace(request.customer);
     auto& queue = place->second;
     if (wasIdle) {
-        // A customer that was idle starts at the present virtual time and gains nothing from its idleness.
+        // Starting at the current virtual time, an idle customer does not accumulate credit.
         auto idle = m_idleFinish.find(request.customer);
         queue.finish = idle == m_idleFinish.end() ? m_virtualTime : std::max(idle->second, m_virtualTime);
         if (idle != m_idleFinish.end())
--- a/packages/core/src/plumfold_permit_ledger.cpp
+++ b/packages/core/src/plumfold_permit_ledger.cpp
@@ -9,7 +9,7 @@
 constexpr milliseconds retryWhenFull { 10 };
 constexpr milliseconds silentTargetTimeout { 60'000 };
 constexpr milliseconds drainReservation { 2000 };
-// A refused holder keeps its place for a few of its retries.
+// A denied holder keeps its place in line for a few retries.
 constexpr milliseconds waitingPlaceTimeout { 40 };
 
 } // namespace
@@ -27,7 +27,7 @@
     if (target.incarnation == report.incarnation && !isNew) {
         target.reportedAt = now;
         target.window.setMaxLimit(report.maxBatch);
-        // The report also counts what runs under own permits, so this never falls too low.
+        // The report also counts requests under this ledger's permits, so inherited is never too low.
         target.inherited = std::min(target.inherited, report.running + report.queued);
         return;
     }
@@ -82,7 +82,7 @@
     return answer;
 }
 
-// Freed places go to the holders that were refused first; the owner itself has no advantage over other
+// Freed permits go to the holders that were denied first, so that the owner has no advantage over other
 // entries.
 std::uint32_t permit_ledger::holdersAhead(owned_target& target, const std::string& holder, instant now)
 {
--- a/packages/core/src/plumfold_suspect_registry.cpp
+++ b/packages/core/src/plumfold_suspect_registry.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t maxListed = 256;
+constexpr std::size_t maxListed = 256; // per gossip message
 
 } // namespace
 
@@ -27,7 +27,8 @@
 {
     auto& entry = m_suspects[fingerprint];
     entry.until = now + m_maxAge;
-    // A crash beside other requests proves nothing, however often it happens.
+    // A crash with other requests on the target does not show which of them caused it, so these do not add
+    // up.
     entry.crashes = alone ? std::max(entry.crashes + 1, crashesToCondemn) : std::max(entry.crashes, 1u);
     return suspicionOf(fingerprint, now);
 }
--- a/tests/core/plumfold_fair_queue_tests.cpp
+++ b/tests/core/plumfold_fair_queue_tests.cpp
@@ -11,7 +11,8 @@
     return { number, customer, weight, 100, 1, instant(std::chrono::hours(1)) };
 }
 
-/// Starts requests by fairness and counts them per customer.
+/// Starts requests in queue order.
+/// @return the number of started requests per customer.
 std::map<std::string, int> startSome(fair_queue& queue, int count)
 {
     std::map<std::string, int> started;
@@ -25,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("Customers share by weight however many requests each has waiting", "[queue][fairness]")
+TEST_CASE("Customers share by weight, regardless of how many requests each has waiting", "[queue][fairness]")
 {
     fair_queue queue;
     request_number number = 0;
@@ -41,7 +42,7 @@
     CHECK(started["double"] == Approx(40).margin(2));
 }
 
-TEST_CASE("A customer gains nothing from having been idle", "[queue][fairness]")
+TEST_CASE("An idle customer does not accumulate credit", "[queue][fairness]")
 {
     fair_queue queue;
     for (request_number number = 1; number <= 100; ++number)
@@ -53,7 +54,7 @@
     CHECK(started["late"] == Approx(10).margin(2));
 }
 
-TEST_CASE("Within a customer priority goes before deadline", "[queue]")
+TEST_CASE("Within a customer, requests are ordered by priority, then by deadline", "[queue]")
 {
     fair_queue queue;
     auto urgent = waiting(1, "c");
@@ -71,7 +72,7 @@
     CHECK(order == std::vector<request_number> { 2, 1, 3 });
 }
 
-TEST_CASE("A request that no target took is put back without a charge", "[queue]")
+TEST_CASE("Requeueing a started request undoes its charge", "[queue]")
 {
     fair_queue queue;
     queue.push(waiting(1, "a"));
--- a/tests/core/plumfold_permit_ledger_tests.cpp
+++ b/tests/core/plumfold_permit_ledger_tests.cpp
@@ -29,7 +29,7 @@
     return { attempt_outcome::succeeded, milliseconds(20), milliseconds(20), true };
 }
 
-/// Opens a target's window by running requests to their end.
+/// Raises a target's concurrency limit by completing requests at warm speed.
 void warm(permit_ledger& ledger, std::uint32_t limit, instant now)
 {
     while (ledger.limitOf("t") < limit) {
@@ -41,8 +41,8 @@
 
 } // namespace
 
-TEST_CASE(
-    "A cold target's window opens with measured progress and closes on a silent slowdown", "[permits][cold]")
+TEST_CASE("The limit of a cold target rises with fast answers and drops when the target becomes slow",
+    "[permits][cold]")
 {
     permit_ledger ledger(lease, 1);
     instant now {};
@@ -63,7 +63,8 @@
     CHECK(ledger.limitOf("t") == 1);
 }
 
-TEST_CASE("Where every target is cold their agreement opens no window", "[permits][cold]")
+TEST_CASE(
+    "Without a warm reference, similar answers of cold targets do not raise the limit", "[permits][cold]")
 {
     start_window window(8);
     attempt_measure cold { attempt_outcome::succeeded, milliseconds(1000), milliseconds(1000), false };
@@ -71,20 +72,20 @@
         window.record(cold);
         CHECK(window.limit() == 1);
     }
-    SECTION("becoming faster does")
+    SECTION("an answer that is much faster than the first one raises it")
     {
         cold.firstToken = milliseconds(100);
         window.record(cold);
         CHECK(window.limit() == 2);
     }
-    SECTION("and so do many answers, as a target that never becomes faster was warm")
+    SECTION("16 answers raise it, as a target that does not become faster was warm")
     {
         window.record(cold);
         CHECK(window.limit() == 2);
     }
 }
 
-TEST_CASE("A restarted target starts cold and its former permits are void", "[permits][cold]")
+TEST_CASE("A restarted target starts cold and its earlier permits are void", "[permits][cold]")
 {
     permit_ledger ledger(lease, 1);
     instant now {};
@@ -92,31 +93,31 @@
     warm(ledger, 8, now);
     ledger.onReport(report(2, 8), now);
     CHECK(ledger.limitOf("t") == 1);
-    CHECK_FALSE(ledger.acquire(ask("a", 1), now).granted); // meant for the process that has ended
+    CHECK_FALSE(ledger.acquire(ask("a", 1), now).granted); // for the previous incarnation
     CHECK(ledger.acquire(ask("a", 2), now).granted);
 }
 
-TEST_CASE(
-    "A new owner counts what the target still runs under the former owner's permits", "[permits][takeover]")
+TEST_CASE("A new owner counts the requests that still run under the previous owner's permits",
+    "[permits][takeover]")
 {
     permit_ledger ledger(lease, 1);
     instant now {};
     ledger.onReport(report(1, 8, 3), now);
     CHECK(ledger.limitOf("t") == 3);
     CHECK_FALSE(ledger.acquire(ask("a"), now).granted);
-    SECTION("until a lease has passed")
+    SECTION("a lease has passed")
     {
         now += lease;
         CHECK(ledger.acquire(ask("a"), now).granted);
     }
-    SECTION("or the target reports less")
+    SECTION("the target reports less load")
     {
         ledger.onReport(report(1, 8, 1), now);
         CHECK(ledger.acquire(ask("a"), now).granted);
     }
 }
 
-TEST_CASE("The permits of a dead entry end with their lease", "[permits]")
+TEST_CASE("The permits of a dead entry expire with their lease", "[permits]")
 {
     permit_ledger ledger(lease, 1);
     instant now {};
@@ -127,14 +128,14 @@
     CHECK_FALSE(ledger.acquire(ask("live"), now + lease - milliseconds(1)).granted);
     ledger.expire(now + lease);
     CHECK(ledger.acquire(ask("live"), now + lease + milliseconds(100)).granted);
-    SECTION("but not while they are renewed")
+    SECTION("renewed permits do not expire")
     {
         auto held = ledger.acquire(ask("x"), now);
         ledger.renew("live", { held.permit }, now + lease);
     }
 }
 
-TEST_CASE("A suspect runs alone and other entries' requests wait for it", "[permits][suspects]")
+TEST_CASE("A suspect runs alone while requests of other entries wait", "[permits][suspects]")
 {
     permit_ledger ledger(lease, 1);
     instant now {};
@@ -142,7 +143,7 @@
     warm(ledger, 8, now);
     auto innocent = ledger.acquire(ask("a"), now);
     CHECK_FALSE(ledger.acquire(ask("s", 1, true), now).granted);
-    CHECK_FALSE(ledger.acquire(ask("a"), now).granted); // the target drains for the suspect
+    CHECK_FALSE(ledger.acquire(ask("a"), now).granted); // the target drains before the suspect runs
     ledger.release(innocent.permit, quick());
     now += milliseconds(50);
     auto alone = ledger.acquire(ask("s", 1, true), now);
@@ -153,7 +154,7 @@
     CHECK(ledger.acquire(ask("a"), now).granted);
 }
 
-TEST_CASE("Entries that were refused first get the places that become free", "[permits][fairness]")
+TEST_CASE("Entries that were denied first get the permits that become free", "[permits][fairness]")
 {
     permit_ledger ledger(lease, 1);
     instant now {};
@@ -165,7 +166,7 @@
     CHECK(ledger.acquire(ask("remote"), now).granted);
 }
 
-TEST_CASE("The sum over all entries never exceeds the window", "[permits][property]")
+TEST_CASE("All entries together never exceed the concurrency limit", "[permits][property]")
 {
     rc::prop("acquire, release, report, expire in any order", [] {
         permit_ledger ledger(lease, 1);
