--- a/packages/core/include/plumfold/core/plumfold_error.hpp
+++ b/packages/core/include/plumfold/core/plumfold_error.hpp
@@ -10,7 +10,7 @@
 
 namespace plumfold::core {
 
-/// The typed kinds of errors that callers and operators see. docs/errors.md lists them.
+/// Error kinds that callers and operators see; documented in docs/errors.md.
 enum class error_kind {
     bad_request,
     unauthenticated,
@@ -31,18 +31,17 @@
     shutting_down,
 };
 
-/// Whether the work of a request that ended in an error reached a target.
+/// Whether a failed request ran on a target.
 enum class run_state { not_run, ran, unknown };
 
-/// A final answer other than success. Immutable value.
+/// An error that ends a request.
 struct error_info {
     error_kind kind = error_kind::bad_request;
     run_state ran = run_state::not_run;
-    std::string message; ///< Names the remedy.
-    std::optional<milliseconds> retryAfter; ///< Set where a later try makes sense.
+    std::string message; ///< States the problem and its remedy.
+    std::optional<milliseconds> retryAfter; ///< Set when a later retry can succeed.
 };
 
-/// @return an error with the given parts.
 inline error_info makeError(error_kind kind, run_state ran, std::string message,
     std::optional<milliseconds> retryAfter = std::nullopt)
 {
@@ -52,17 +51,18 @@
 /// @return the stable name of a kind, for example "overloaded".
 const char* errorKindName(error_kind kind);
 
-/// @return the HTTP status code that carries a kind.
+/// @return the HTTP status code for a kind.
 int httpStatusOf(error_kind kind);
 
 /// @return the stable name of a run state: "not_run", "ran" or "unknown".
 const char* runStateName(run_state state);
 
-/// Packs an error into a status whose payload carries the typed kind.
-/// @return a status that errorInfoOf() turns back into the same error.
+/// Converts an error to a status; the payload keeps the kind, the run state and the retry delay.
+/// @return a status that errorInfoOf() converts back to the same error.
 absl::Status toStatus(const error_info& error);
 
-/// @return the error that a status of toStatus() carries, or a bad_request with the status' own message.
+/// @return the error that toStatus() stored in the status; a bad_request with the status message when there
+/// is none.
 error_info errorInfoOf(const absl::Status& status);
 
 } // namespace plumfold::core
--- a/packages/core/include/plumfold/core/plumfold_event_cursor.hpp
+++ b/packages/core/include/plumfold/core/plumfold_event_cursor.hpp
@@ -8,21 +8,23 @@
 
 namespace plumfold::core {
 
-/// Follows a stream of numbered server-sent events, so that it can be continued after the last whole one.
+/// Splits a stream of server-sent events at event boundaries and tracks event ids, so that the stream can be
+/// resumed after the last complete event.
 class event_cursor {
 public:
-    /// Takes bytes of the stream.
-    /// @return the bytes that end with a whole event; the rest is held back.
+    /// Appends bytes of the stream.
+    /// @return all buffered complete events; a partial event stays buffered.
     std::string feed(std::string_view bytes);
 
-    /// @return the id of the last whole event, or nothing when none had one.
+    /// @return the id of the last complete event that had one.
     std::optional<std::uint64_t> lastId() const { return m_lastId; }
 
-    /// Starts to take another run's bytes, which go on after the last whole event. What is held of the former
-    /// run's unfinished event is dropped.
+    /// Prepares for a new attempt, which continues after the last complete event. The partial event of the
+    /// previous attempt is discarded.
     void startAttempt() { m_partialEvent.clear(); }
 
-    /// @return the bytes of an event that is not whole, which are not held any more.
+    /// Empties the buffer.
+    /// @return the buffered bytes of a partial event.
     std::string takePartialEvent() { return std::exchange(m_partialEvent, {}); }
 
 private:
--- a/packages/core/include/plumfold/core/plumfold_report_relay.hpp
+++ b/packages/core/include/plumfold/core/plumfold_report_relay.hpp
@@ -8,19 +8,20 @@
 
 namespace plumfold::core {
 
-/// Decides which reports one entry relays to one peer, to keep gossip small. What decides whether a target
-/// may be used goes at once; its load goes at once within the failure domain and otherwise with the refresh
-/// that keeps it known.
+/// Decides which target reports one entry relays to one peer, to keep gossip small. Changes that affect
+/// whether a target may be used are relayed at once. Load changes are relayed at once within the failure
+/// domain, and to other failure domains only with the periodic refresh that keeps the target from expiring
+/// there.
 class report_relay {
 public:
     /// @param sameDomain whether the peer belongs to this entry's failure domain.
-    /// @param refresh interval after which an unchanged report is sent again.
+    /// @param refresh interval after which a newer report is relayed even without such a change.
     report_relay(bool sameDomain, milliseconds refresh);
 
-    /// @return whether the report is due for the peer; it counts as sent then.
+    /// @return whether the report is due for the peer; if so, it is recorded as sent.
     bool markSentIfDue(const target_report& report, instant now);
 
-    /// The peer may have missed what was sent.
+    /// Makes every report due again, for a peer that may have missed earlier ones.
     void reset() { m_sent.clear(); }
 
 private:
--- a/packages/core/include/plumfold/core/plumfold_stream_assembly.hpp
+++ b/packages/core/include/plumfold/core/plumfold_stream_assembly.hpp
@@ -4,17 +4,17 @@
 
 namespace plumfold::core {
 
-/// What to do with a token that came from a target.
+/// What to do with a token received from a target.
 enum class token_verdict {
     deliver,
-    duplicate, ///< Was delivered before; drop it.
-    gap, ///< A token before it is missing; the attempt must be given up.
+    duplicate, ///< Already delivered; drop it.
+    gap, ///< An earlier token is missing; the attempt must be abandoned.
 };
 
-/// Keeps the tokens of one answer in order across the attempts that produce it.
+/// Assembles the tokens of one answer in order across several attempts.
 class stream_assembly {
 public:
-    /// @param index position of the token in the whole answer, from 0.
+    /// @param index zero-based position of the token in the answer.
     token_verdict accept(std::uint32_t index)
     {
         if (index < m_next)
@@ -25,7 +25,7 @@
         return token_verdict::deliver;
     }
 
-    /// @return the position from which a new attempt must go on.
+    /// @return the position of the next token, where a new attempt has to continue.
     std::uint32_t next() const { return m_next; }
 
 private:
--- a/tests/core/plumfold_event_cursor_tests.cpp
+++ b/tests/core/plumfold_event_cursor_tests.cpp
@@ -4,7 +4,8 @@
 
 using plumfold::core::event_cursor;
 
-TEST_CASE("An event that was cut by the end of a run is dropped when another run goes on", "[event_cursor]")
+TEST_CASE(
+    "A partial event of one attempt is discarded when another attempt continues the stream", "[event_cursor]")
 {
     event_cursor cursor;
     CHECK(cursor.feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
@@ -15,7 +16,7 @@
     CHECK(cursor.takePartialEvent().empty());
 }
 
-TEST_CASE("Events pass on as soon as they are whole, whatever pieces they come in", "[event_cursor]")
+TEST_CASE("Events are passed on once complete, however the stream is split", "[event_cursor]")
 {
     const std::string stream = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 10\ndata: c\n\n";
     for (std::size_t size = 1; size < stream.size(); ++size) {
--- a/tests/core/plumfold_report_relay_tests.cpp
+++ b/tests/core/plumfold_report_relay_tests.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("Load is relayed at once within a failure domain and with the refresh to others", "[relay]")
+TEST_CASE("Load changes are relayed at once within a failure domain and on refresh to others", "[relay]")
 {
     bool sameDomain = GENERATE(true, false);
     report_relay relay(sameDomain, milliseconds(1000));
@@ -33,28 +33,28 @@
     CHECK_FALSE(relay.markSentIfDue(report(4, 5), now));
 }
 
-TEST_CASE("What decides whether a target may be used is relayed at once", "[relay][leaving]")
+TEST_CASE("Changes that decide whether a target may be used are relayed at once", "[relay][leaving]")
 {
     report_relay relay(false, milliseconds(1000));
     instant now {};
     CHECK(relay.markSentIfDue(report(1, 0), now));
     auto next = report(2, 0);
-    SECTION("that it leaves")
+    SECTION("the target is leaving")
     {
         next.leaving = true;
     }
-    SECTION("that it has restarted")
+    SECTION("the target has restarted")
     {
         next.incarnation = 2;
     }
-    SECTION("what it has loaded")
+    SECTION("the target has loaded another model version")
     {
         next.models = { { "base", "v2", {} } };
     }
     CHECK(relay.markSentIfDue(next, now));
 }
 
-TEST_CASE("A silent target is not kept known by its relays", "[relay]")
+TEST_CASE("Relays do not refresh a target that has stopped reporting", "[relay]")
 {
     report_relay relay(true, milliseconds(1000));
     instant now {};
