--- a/tests/core/plumfold_dispatcher_tests.cpp
+++ b/tests/core/plumfold_dispatcher_tests.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t maxBatch = 4;
 
-/// One dispatcher with a configuration and a clock.
+/// A dispatcher with a configuration and a clock that tests advance.
 class dispatch_fixture {
 public:
     dispatch_fixture()
@@ -25,7 +25,7 @@
         config.apply(record(customer_record { "samvinna", std::string(64, 'b'), 1, 8, 8, { "base" } }));
         m_config = config;
         configure();
-        m_dispatcher.onConfirmed(now);
+        m_dispatcher.onConfigurationConfirmed(now);
     }
 
     static dispatch_options options()
@@ -53,7 +53,7 @@
         report.models = { { "base", version, {} } };
         report.maxBatch = maxBatch;
         report.running = running;
-        reportTwice(report);
+        reportWarm(report);
     }
 
     void announceService(const std::string& name)
@@ -67,7 +67,7 @@
         report.services = { "orders" };
         report.maxBatch = maxBatch;
         report.running = maxBatch;
-        reportTwice(report);
+        reportWarm(report);
     }
 
     request_spec spec(const std::string& customer = "espuma")
@@ -83,9 +83,9 @@
         return made;
     }
 
-    void submit(const request_spec& what) { take(m_dispatcher.submit(what, now)); }
+    void submit(const request_spec& what) { apply(m_dispatcher.submit(what, now)); }
 
-    /// @return the target where a request was started last, or an empty name.
+    /// @return the target of a request's last start, or an empty name.
     std::string startedOn(request_number request) const
     {
         auto found = m_started.find(request);
@@ -105,8 +105,8 @@
         attempt_report report;
         report.outcome = outcome;
         report.firstToken = m_started.at(request).expectedFirstToken;
-        report.held = milliseconds(50);
-        take(m_dispatcher.finished(request, report, now));
+        report.duration = milliseconds(50);
+        apply(m_dispatcher.onFinished(request, report, now));
     }
 
     void retry(const request_spec& next, attempt_outcome outcome)
@@ -114,24 +114,24 @@
         m_started.erase(next.number);
         attempt_report report;
         report.outcome = outcome;
-        take(m_dispatcher.retry(next, report, now));
+        apply(m_dispatcher.retry(next, report, now));
     }
 
-    void pass(milliseconds time)
+    void advance(milliseconds time)
     {
         now += time;
-        take(m_dispatcher.tick(now));
+        apply(m_dispatcher.tick(now));
     }
 
-    void take(const dispatcher::actions& actions)
+    void apply(const dispatcher::actions& actions)
     {
         for (const auto& action : actions) {
             if (const auto* start = std::get_if<start_action>(&action))
                 m_started[start->request] = start->plan;
             if (const auto* refuse = std::get_if<refuse_action>(&action))
                 m_refused[refuse->request] = refuse->error;
-            if (const auto* ask = std::get_if<ask_permit_action>(&action))
-                asked.push_back(*ask);
+            if (const auto* acquire = std::get_if<acquire_permit_action>(&action))
+                permitRequests.push_back(*acquire);
             if (std::holds_alternative<release_permit_action>(action))
                 ++released;
             if (std::holds_alternative<condemn_action>(action))
@@ -140,19 +140,19 @@
     }
 
     instant now { std::chrono::hours(1) };
-    std::vector<ask_permit_action> asked;
+    std::vector<acquire_permit_action> permitRequests;
     int released = 0;
     int condemned = 0;
     dispatcher& subject() { return m_dispatcher; }
 
 private:
-    // As if the target had been known for longer than a lease: its load is its own window, and free.
-    void reportTwice(target_report report)
+    // The load of the first report sets the target's concurrency limit; the second report frees it again.
+    void reportWarm(target_report report)
     {
         for (std::uint32_t running : { report.running, 0u }) {
             report.running = running;
             report.sequence = ++m_sequence;
-            take(m_dispatcher.onReport(report, now, now));
+            apply(m_dispatcher.onReport(report, now, now));
         }
     }
 
@@ -160,7 +160,7 @@
     {
         bool fits = false;
         configuration_update update { m_config.revision(), m_config.digest(), m_config.records(), {} };
-        take(m_dispatcher.onConfiguration(update, fits, now));
+        apply(m_dispatcher.onConfiguration(update, fits, now));
         REQUIRE(fits);
     }
 
@@ -174,14 +174,14 @@
 
 } // namespace
 
-TEST_CASE_METHOD(
-    dispatch_fixture, "A target that leaves or is taken out receives no new work", "[dispatch][leaving]")
+TEST_CASE_METHOD(dispatch_fixture, "A target that is leaving or out of service receives no new requests",
+    "[dispatch][leaving]")
 {
     announce("t1");
     auto first = spec();
     submit(first);
     CHECK(startedOn(first.number) == "t1");
-    SECTION("its own word counts")
+    SECTION("the target reports that it is leaving")
     {
         target_report leaving;
         leaving.name = "t1";
@@ -190,52 +190,52 @@
         leaving.models = { { "base", "v1", {} } };
         leaving.leaving = true;
         leaving.sequence = 1000;
-        take(subject().onReport(leaving, now, now));
+        apply(subject().onReport(leaving, now, now));
     }
-    SECTION("so does the operators'")
+    SECTION("an operator has taken it out of service")
     {
         change(record(target_record { "t1", false, false }));
     }
-    SECTION("and its failure domain's")
+    SECTION("its failure domain is out of service")
     {
         change(record(failure_domain_record { "east", false, 1 }));
     }
-    SECTION("and a failure domain that was never configured")
+    SECTION("its failure domain is not configured")
     {
         change(record_key { record_kind::failure_domain, "east" });
     }
-    SECTION("a silent target is forgotten")
+    SECTION("it has not reported within the expiry")
     {
-        pass(milliseconds(3001));
+        advance(milliseconds(3001));
     }
     auto second = spec();
     submit(second);
     CHECK(startedOn(second.number).empty());
-    pass(milliseconds(600));
+    advance(milliseconds(600));
     REQUIRE(refusal(second.number));
     CHECK(refusal(second.number)->kind == error_kind::no_target);
     CHECK(refusal(second.number)->ran == run_state::not_run);
     CHECK(refusal(second.number)->retryAfter);
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A cut-off entry sends work only to targets of its own failure domain",
-    "[dispatch][cut]")
+TEST_CASE_METHOD(dispatch_fixture,
+    "An entry that is cut off from control dispatches only within its failure domain", "[dispatch][cut]")
 {
-    announce("far", "west");
+    announce("remote", "west");
     auto first = spec();
     submit(first);
-    CHECK(startedOn(first.number) == "far");
+    CHECK(startedOn(first.number) == "remote");
     now += milliseconds(3001);
-    announce("far", "west");
+    announce("remote", "west");
     auto second = spec();
     submit(second);
     CHECK(startedOn(second.number).empty());
-    announce("near", "east");
-    CHECK(startedOn(second.number) == "near");
+    announce("local", "east");
+    CHECK(startedOn(second.number) == "local");
 }
 
 TEST_CASE_METHOD(
-    dispatch_fixture, "A new request never runs on another weight version", "[dispatch][version]")
+    dispatch_fixture, "A new request runs only on the current weight version", "[dispatch][version]")
 {
     announce("old", "east", 1, "v1");
     change(record(weight_version_record { "base", "v2" }));
@@ -243,15 +243,15 @@
     submit(fresh);
     CHECK(startedOn(fresh.number).empty());
     auto underWay = spec();
-    underWay.version = "v1"; // began before the swap
+    underWay.version = "v1"; // started before the version change
     submit(underWay);
     CHECK(startedOn(underWay.number) == "old");
     announce("new", "east", 1, "v2");
     CHECK(startedOn(fresh.number) == "new");
 }
 
-TEST_CASE_METHOD(
-    dispatch_fixture, "A cold target gets one request until it has shown progress", "[dispatch][cold]")
+TEST_CASE_METHOD(dispatch_fixture,
+    "A cold target runs one request at a time until its answers raise the limit", "[dispatch][cold]")
 {
     announce("t1", "east", 1, "v1", 0);
     std::vector<request_spec> specs;
@@ -263,18 +263,18 @@
         return std::count_if(
             specs.begin(), specs.end(), [&](const auto& s) { return !startedOn(s.number).empty(); });
     };
-    // No warm target is known, so only many answers open the window.
+    // No warm target is known for comparison, so only a number of answers raises the limit.
     for (std::size_t index = 0; index < 16; ++index) {
         CHECK(started() == static_cast<std::ptrdiff_t>(index) + 1);
         finish(specs[index].number);
-        pass(milliseconds(50));
+        advance(milliseconds(50));
         specs.push_back(spec());
         submit(specs.back());
     }
     CHECK(started() == 18);
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A request that is not idempotent is never dispatched twice",
+TEST_CASE_METHOD(dispatch_fixture, "A request that is not idempotent is not retried once it may have run",
     "[dispatch][at-most-once]")
 {
     announceService("s1");
@@ -285,7 +285,7 @@
     order.idempotent = false;
     submit(order);
     REQUIRE_FALSE(startedOn(order.number).empty());
-    SECTION("after its target was lost the outcome is unknown")
+    SECTION("the target was lost or crashed: the outcome is unknown")
     {
         auto outcome = GENERATE(attempt_outcome::lost, attempt_outcome::crashed);
         retry(order, outcome);
@@ -294,7 +294,7 @@
         CHECK(refusal(order.number)->kind == error_kind::outcome_unknown);
         CHECK(refusal(order.number)->ran == run_state::unknown);
     }
-    SECTION("unless no byte reached the target or it said that it did not run")
+    SECTION("no byte reached the target or it refused the request: another target is tried")
     {
         auto outcome = GENERATE(attempt_outcome::not_reached, attempt_outcome::refused);
         std::string first = startedOn(order.number);
@@ -304,20 +304,20 @@
     }
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A refusal after an attempt that may have run does not say not run",
+TEST_CASE_METHOD(dispatch_fixture, "An error after an attempt that may have run does not report not_run",
     "[dispatch][truth]")
 {
     announce("t1");
     auto request = spec();
     submit(request);
     retry(request, attempt_outcome::lost);
-    pass(milliseconds(700));
+    advance(milliseconds(700));
     REQUIRE(refusal(request.number));
     CHECK(refusal(request.number)->ran == run_state::unknown);
 }
 
 TEST_CASE_METHOD(
-    dispatch_fixture, "Retries are bounded by a budget when every target fails", "[dispatch][retry]")
+    dispatch_fixture, "The retry budget limits retries when every target fails", "[dispatch][retry]")
 {
     int retried = 0;
     for (int index = 0; index < 400; ++index) {
@@ -326,7 +326,7 @@
         auto request = spec();
         submit(request);
         if (startedOn(request.number).empty()) {
-            pass(milliseconds(1100));
+            advance(milliseconds(1100));
             continue;
         }
         retry(request, attempt_outcome::lost);
@@ -334,15 +334,16 @@
             ++retried;
             finish(request.number);
         }
-        pass(milliseconds(1100));
+        advance(milliseconds(1100));
     }
-    // A reserve of 20, and one retry for every ten requests.
+    // The initial budget of 20, and one retry for every ten requests.
     CHECK(retried <= 20 + 40);
     CHECK(retried > 0);
 }
 
 TEST_CASE_METHOD(dispatch_fixture,
-    "A request that crashes targets is condemned after two and innocents are served", "[dispatch][suspects]")
+    "A request that crashes two targets is condemned and the requests beside it are served",
+    "[dispatch][suspects]")
 {
     announce("t1");
     auto bad = spec();
@@ -355,8 +356,8 @@
     announce("t3");
     retry(bad, attempt_outcome::crashed);
     retry(innocent, attempt_outcome::crashed);
-    pass(milliseconds(20));
-    // Each runs alone now, on a target of its own.
+    advance(milliseconds(20));
+    // Both are suspects now and run alone, so each is on a target of its own.
     REQUIRE_FALSE(startedOn(bad.number).empty());
     REQUIRE_FALSE(startedOn(innocent.number).empty());
     CHECK(startedOn(bad.number) != startedOn(innocent.number));
@@ -365,22 +366,23 @@
     REQUIRE(refusal(bad.number));
     CHECK(refusal(bad.number)->kind == error_kind::crashes_targets);
     CHECK(condemned == 1);
-    auto resend = spec();
-    resend.fingerprint = bad.fingerprint;
-    submit(resend);
-    REQUIRE(refusal(resend.number));
-    CHECK(refusal(resend.number)->ran == run_state::not_run);
-    SECTION("until an operator withdraws the verdict")
+    auto duplicate = spec();
+    duplicate.fingerprint = bad.fingerprint;
+    submit(duplicate);
+    REQUIRE(refusal(duplicate.number));
+    CHECK(refusal(duplicate.number)->ran == run_state::not_run);
+    SECTION("an operator withdraws the verdict")
     {
         subject().onVerdictWithdrawn(bad.fingerprint);
-        auto again = spec();
-        again.fingerprint = bad.fingerprint;
-        submit(again);
-        CHECK_FALSE(refusal(again.number));
+        auto retried = spec();
+        retried.fingerprint = bad.fingerprint;
+        submit(retried);
+        CHECK_FALSE(refusal(retried.number));
     }
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A customer's limit leaves room for others", "[dispatch][limits]")
+TEST_CASE_METHOD(
+    dispatch_fixture, "A customer at its limit does not block other customers", "[dispatch][limits]")
 {
     for (const char* name : { "t1", "t2", "t3" })
         announce(name);
@@ -400,7 +402,7 @@
 }
 
 TEST_CASE_METHOD(
-    dispatch_fixture, "Work that cannot make its deadline is refused at once", "[dispatch][deadline]")
+    dispatch_fixture, "A request that cannot meet its deadline is refused at once", "[dispatch][deadline]")
 {
     announce("t1");
     auto late = spec();
@@ -409,7 +411,7 @@
     REQUIRE(refusal(late.number));
     CHECK(refusal(late.number)->kind == error_kind::deadline_unreachable);
     CHECK(refusal(late.number)->retryAfter);
-    SECTION("and so is work whose deadline passes while it waits")
+    SECTION("a waiting request is refused when its deadline passes")
     {
         for (int index = 0; index < 4; ++index)
             submit(spec());
@@ -417,13 +419,13 @@
         waiting.deadline = now + milliseconds(200);
         submit(waiting);
         CHECK_FALSE(refusal(waiting.number));
-        pass(milliseconds(200));
+        advance(milliseconds(200));
         REQUIRE(refusal(waiting.number));
         CHECK(refusal(waiting.number)->ran == run_state::not_run);
     }
 }
 
-TEST_CASE_METHOD(dispatch_fixture, "A returning prompt goes where its blocks are unless that target is full",
+TEST_CASE_METHOD(dispatch_fixture, "A repeated prompt goes to the target that has its blocks cached",
     "[dispatch][affinity]")
 {
     announce("t1");
@@ -432,19 +434,19 @@
     first.promptTokens = 1030;
     first.chain = { 1, 2, 3, 4 };
     submit(first);
-    std::string home = startedOn(first.number);
+    std::string preferred = startedOn(first.number);
     finish(first.number);
     for (int index = 0; index < 3; ++index) {
         auto back = spec();
         back.promptTokens = 1030;
         back.chain = first.chain;
         submit(back);
-        CHECK(startedOn(back.number) == home);
+        CHECK(startedOn(back.number) == preferred);
     }
 }
 
-TEST_CASE_METHOD(dispatch_fixture,
-    "A cache that held less than was hoped for does not look like a cold start", "[dispatch][cold]")
+TEST_CASE_METHOD(
+    dispatch_fixture, "An unexpected cache miss does not count as a cold start", "[dispatch][cold]")
 {
     announce("t1");
     auto first = spec();
@@ -459,10 +461,10 @@
         submit(back);
         REQUIRE_FALSE(startedOn(back.number).empty());
         CHECK(planOf(back.number).cachedBlocks == 4);
-        attempt_report evicted; // the blocks were gone
+        attempt_report evicted; // no cached tokens reported
         evicted.firstToken = milliseconds(220);
-        evicted.held = milliseconds(300);
-        take(subject().finished(back.number, evicted, now));
+        evicted.duration = milliseconds(300);
+        apply(subject().onFinished(back.number, evicted, now));
     }
     int running = 0;
     for (int index = 0; index < 4; ++index) {
@@ -473,8 +475,8 @@
     CHECK(running == 4);
 }
 
-TEST_CASE_METHOD(
-    dispatch_fixture, "Blocks are imported only where that is faster than computing them", "[dispatch][link]")
+TEST_CASE_METHOD(dispatch_fixture,
+    "Blocks are fetched from the store only when that is faster than recomputing them", "[dispatch][link]")
 {
     announce("t1");
     auto cheap = spec();
@@ -491,8 +493,8 @@
     CHECK(planOf(slow.number).importBlocks == 0);
 }
 
-TEST_CASE_METHOD(
-    dispatch_fixture, "Permits of targets that another entry owns are asked for", "[dispatch][permits]")
+TEST_CASE_METHOD(dispatch_fixture,
+    "A permit for a target that another entry owns is requested from that entry", "[dispatch][permits]")
 {
     std::string foreign;
     entry_membership view("entry-1", "east", milliseconds(1500));
@@ -503,37 +505,37 @@
         if (view.ownerOf(name, "east") == "entry-2")
             foreign = name;
     }
-    subject().onEntryHeard(peer);
+    subject().onPeerState(peer);
     announce(foreign);
     auto request = spec();
     submit(request);
-    REQUIRE(asked.size() == 1);
-    CHECK(asked[0].owner == "entry-2");
+    REQUIRE(permitRequests.size() == 1);
+    CHECK(permitRequests[0].owner == "entry-2");
     CHECK(startedOn(request.number).empty());
-    SECTION("granted: it starts")
+    SECTION("granted: the request starts")
     {
-        take(subject().permitAnswered(request.number, "entry-2", { true, 77, 8, {} }, now));
+        apply(subject().onPermitAnswer(request.number, "entry-2", { true, 77, 8, {} }, now));
         CHECK(startedOn(request.number) == foreign);
         finish(request.number);
         CHECK(released == 1);
     }
-    SECTION("refused: it waits and asks again")
+    SECTION("denied: the request waits and a permit is requested again")
     {
-        take(subject().permitAnswered(request.number, "entry-2", { false, 0, 0, milliseconds(10) }, now));
-        pass(milliseconds(20));
-        CHECK(asked.size() == 2);
+        apply(subject().onPermitAnswer(request.number, "entry-2", { false, 0, 0, milliseconds(10) }, now));
+        advance(milliseconds(20));
+        CHECK(permitRequests.size() == 2);
     }
-    SECTION("granted after the caller has left: the permit goes back")
+    SECTION("granted after the request was cancelled: the permit is released")
     {
-        take(subject().cancel(request.number, now));
-        take(subject().permitAnswered(request.number, "entry-2", { true, 77, 8, {} }, now));
+        apply(subject().cancel(request.number, now));
+        apply(subject().onPermitAnswer(request.number, "entry-2", { true, 77, 8, {} }, now));
         CHECK(released == 1);
         CHECK(startedOn(request.number).empty());
     }
-    SECTION("the owner dies: this entry owns the target and starts the request")
+    SECTION("the owner fails: this entry becomes the owner and starts the request")
     {
-        take(subject().permitUnanswered(request.number, now));
-        pass(milliseconds(1600));
+        apply(subject().onOwnerUnreachable(request.number, now));
+        advance(milliseconds(1600));
         announce(foreign);
         CHECK(startedOn(request.number) == foreign);
     }
