--- a/benchmarks/plumfold_bench_policy.cpp
+++ b/benchmarks/plumfold_bench_policy.cpp
@@ -166,7 +166,7 @@
     }
     std::uint32_t tokensOf(std::size_t request) const
     {
-        return promptTokens(m_trace[request].blocks * promptBlockBytes);
+        return estimatePromptTokens(m_trace[request].blocks * promptBlockBytes);
     }
     const std::vector<arrival>& trace() const { return m_trace; }
 
@@ -199,7 +199,7 @@
         auto& chosen = targets[static_cast<std::size_t>(target)];
         ++chosen.running;
         auto chain = chainOf(request);
-        std::uint32_t cached = promptTokens(chosen.cachedBlocks(chain) * promptBlockBytes);
+        std::uint32_t cached = estimatePromptTokens(chosen.cachedBlocks(chain) * promptBlockBytes);
         if (chosen.cachedBlocks(chain) == 0)
             cached = 0;
         std::uint32_t computed = tokensOf(request) - std::min(tokensOf(request), cached);
@@ -368,7 +368,7 @@
                 std::size_t request = started->request - 1;
                 auto chain = chainOf(request);
                 std::uint32_t blocks = targets[static_cast<std::size_t>(target)].cachedBlocks(chain);
-                m_cached[request] = blocks == 0 ? 0 : promptTokens(blocks * promptBlockBytes);
+                m_cached[request] = blocks == 0 ? 0 : estimatePromptTokens(blocks * promptBlockBytes);
                 start(request, target);
             }
             if (const auto* refused = std::get_if<refuse_action>(&action))
--- a/packages/control/src/plumfold_control_service.cpp
+++ b/packages/control/src/plumfold_control_service.cpp
@@ -52,7 +52,7 @@
             targets.push_back(wire::read(each));
         control_peer_state state { params.getFailureDomain().cStr(), params.getEntries(), {} };
         m_context.feed.shared(params.getAddress().cStr(), std::move(state), targets);
-        std::vector<core::part_news> parts;
+        std::vector<core::part_update> parts;
         for (auto each : params.getParts())
             parts.push_back(wire::read(each));
         m_context.feed.sharedParts(parts, params.getClock());
@@ -167,7 +167,7 @@
         auto out = call.getResults().initParts(known.size());
         unsigned index = 0;
         for (const auto& [holder, cursor] : known)
-            wire::write(out[index++], parts.newsAfter(cursor, runtime::now()));
+            wire::write(out[index++], parts.updateAfter(cursor, runtime::now()));
         call.getResults().setClock(m_context.feed.targetClock());
         auto loads = m_context.feed.loads(false);
         auto outLoads = call.getResults().initLoads(loads.size());
--- a/packages/control/src/plumfold_deployment_feed.cpp
+++ b/packages/control/src/plumfold_deployment_feed.cpp
@@ -205,10 +205,10 @@
     return m_clock + static_cast<std::uint64_t>(age.count());
 }
 
-void deployment_feed::sharedParts(const std::vector<core::part_news>& parts, std::uint64_t clock)
+void deployment_feed::sharedParts(const std::vector<core::part_update>& parts, std::uint64_t clock)
 {
     for (const auto& news : parts)
-        m_parts.take(news, runtime::now());
+        m_parts.apply(news, runtime::now());
     takeClock(clock);
 }
 
@@ -227,7 +227,7 @@
         return false;
     for (const auto& change : changes)
         m_parts.apply(holder, change);
-    m_parts.refresh(holder, runtime::now());
+    m_parts.confirm(holder, runtime::now());
     return true;
 }
 
@@ -235,7 +235,7 @@
 {
     auto known = m_parts.holders().find(holder);
     if (known != m_parts.holders().end() && known->second.generation == generation)
-        m_parts.take({ holder, 0, 0, 0, false, {} }, runtime::now());
+        m_parts.apply({ holder, 0, 0, 0, false, {} }, runtime::now());
 }
 
 void deployment_feed::followedBy(const std::string& entry)
@@ -255,7 +255,7 @@
     for (const auto& name : expired)
         logTarget("target_silent", m_directory.entries().at(name).last);
     m_directory.forget(now, targetForgetTime);
-    m_parts.forget(now, partsForgetTime);
+    m_parts.expire(now, partsForgetTime);
     std::erase_if(m_loads, [&](const auto& each) { return now - each.second.at > loadForgetTime; });
     std::erase_if(m_followers, [&](const auto& each) { return now - each.second > followerForgetTime; });
     if (!expired.empty())
--- a/packages/control/src/plumfold_deployment_feed.hpp
+++ b/packages/control/src/plumfold_deployment_feed.hpp
@@ -46,7 +46,7 @@
     void shared(const std::string& from, control_peer_state state,
         const std::vector<core::target_announcement>& targets);
     /// Takes what another control VM knows of stores, engines and the targets' clock.
-    void sharedParts(const std::vector<core::part_news>& parts, std::uint64_t clock);
+    void sharedParts(const std::vector<core::part_update>& parts, std::uint64_t clock);
     /// Takes that this control VM starts to read a holder's parts, none of which are known yet.
     void beginParts(const std::string& holder, std::uint64_t generation);
     /// Takes changes that this control VM read from a holder itself.
--- a/packages/control/src/plumfold_peer_links.cpp
+++ b/packages/control/src/plumfold_peer_links.cpp
@@ -90,11 +90,11 @@
     auto targets = request.initTargets(told.size());
     for (unsigned index = 0; index < told.size(); ++index)
         wire::write(targets[index], *told[index]);
-    std::vector<core::part_news> parts;
+    std::vector<core::part_update> parts;
     for (const auto& holder : own) {
         auto& cursor = to.sharedParts[holder];
         cursor.holder = holder;
-        parts.push_back(feed.parts().newsAfter(cursor, now));
+        parts.push_back(feed.parts().updateAfter(cursor, now));
     }
     auto outParts = request.initParts(parts.size());
     for (unsigned index = 0; index < parts.size(); ++index)
--- a/packages/control/src/plumfold_platform_front.cpp
+++ b/packages/control/src/plumfold_platform_front.cpp
@@ -93,7 +93,7 @@
 
     front_answer operator()(const platform::name_weights_call& call)
     {
-        return submit(core::name_weights_command { call.model, call.version });
+        return submit(core::set_current_weights_command { call.model, call.version });
     }
 
     front_answer operator()(const platform::malformed_call& call)
--- a/packages/core/include/plumfold/core/plumfold_block_store.hpp
+++ b/packages/core/include/plumfold/core/plumfold_block_store.hpp
@@ -109,9 +109,9 @@
     std::uint32_t ownerNumber(const chain_owner& owner);
     bool makeRoom(std::uint64_t bytes, const std::string& customer);
     bool evictOne(const std::string* customer);
-    void touch(block_number number);
-    void unlist(block_number number);
-    void listIfEvictable(block_number number);
+    void updateScore(block_number number);
+    void removeFromEvictable(block_number number);
+    void addIfEvictable(block_number number);
     void free(block_number number);
     void dropLease(block_number number, bool wasWriter);
 
--- a/packages/core/include/plumfold/core/plumfold_commands.hpp
+++ b/packages/core/include/plumfold/core/plumfold_commands.hpp
@@ -109,7 +109,8 @@
 struct command {
     unix_milliseconds at = 0;
     std::variant<barrier_command, change_command, claim_command, finish_claim_command, usage_command,
-        verdict_command, lease_command, adopt_document_command, set_in_service_command, name_weights_command>
+        verdict_command, lease_command, adopt_document_command, set_in_service_command,
+        set_current_weights_command>
         what;
 };
 
--- a/packages/core/include/plumfold/core/plumfold_configuration_view.hpp
+++ b/packages/core/include/plumfold/core/plumfold_configuration_view.hpp
@@ -26,9 +26,9 @@
     void confirmed(instant now) { m_confirmedAt = now; }
 
     /// @return whether a quorum has confirmed the view within the bound.
-    bool isFresh(instant now, milliseconds bound) const
+    bool isFresh(instant now, milliseconds maxAge) const
     {
-        return m_confirmedAt && now - *m_confirmedAt <= bound;
+        return m_confirmedAt && now - *m_confirmedAt <= maxAge;
     }
 
     /// @return time since a quorum confirmed the view; the largest value when it never did.
--- a/packages/core/include/plumfold/core/plumfold_control_state.hpp
+++ b/packages/core/include/plumfold/core/plumfold_control_state.hpp
@@ -100,7 +100,7 @@
     command_result applyOne(const lease_command& next, unix_milliseconds at);
     command_result applyOne(const adopt_document_command& next, unix_milliseconds at);
     command_result applyOne(const set_in_service_command& next, unix_milliseconds at);
-    command_result applyOne(const name_weights_command& next, unix_milliseconds at);
+    command_result applyOne(const set_current_weights_command& next, unix_milliseconds at);
     void expire(unix_milliseconds at);
     void remember(const change_command& next, const change_result& result);
 
--- a/packages/core/include/plumfold/core/plumfold_deployment.hpp
+++ b/packages/core/include/plumfold/core/plumfold_deployment.hpp
@@ -137,11 +137,11 @@
 /// priority, whose urgent small requests would wait behind large ones.
 /// @param customer null for public routes.
 /// @return 0 (first) to leastUrgent.
-std::uint32_t urgencyOf(const route& on, const customer_access* customer);
+std::uint32_t urgencyOf(const route& requestRoute, const customer_access* customer);
 
 /// Chooses one of a route's services for a request, in proportion to the weights.
 /// @param draw a number that is evenly distributed over its range, for instance a hash of the request's id.
 /// @return the service, or null when the route has none.
-const std::string* chooseService(const route& on, std::uint64_t draw);
+const std::string* chooseService(const route& requestRoute, std::uint64_t draw);
 
 } // namespace plumfold::core
--- a/packages/core/include/plumfold/core/plumfold_deployment_state.hpp
+++ b/packages/core/include/plumfold/core/plumfold_deployment_state.hpp
@@ -33,7 +33,7 @@
 
     /// Names a model's weight version unless the same or a higher one is named.
     /// @return whether it is named now.
-    bool nameWeights(const std::string& model, std::uint64_t version);
+    bool setCurrentWeights(const std::string& model, std::uint64_t version);
 };
 
 /// Commands of the replicated log that change the deployment state. Each may be applied again without harm.
@@ -44,7 +44,7 @@
     std::string failureDomain;
     bool inService = true;
 };
-struct name_weights_command {
+struct set_current_weights_command {
     std::string model;
     std::uint64_t version = 0;
 };
--- a/packages/core/include/plumfold/core/plumfold_part_directory.hpp
+++ b/packages/core/include/plumfold/core/plumfold_part_directory.hpp
@@ -16,9 +16,9 @@
 
 namespace plumfold::core {
 
-/// Names a KV part as its holders do: parts of another partition are never found.
+/// Names a KV part as its holders do: parts of another cache namespace are never found.
 struct part_key {
-    std::string partition;
+    std::string cacheNamespace;
     std::string id;
     auto operator<=>(const part_key&) const = default;
 };
@@ -35,14 +35,14 @@
 };
 
 /// News of the parts of one holder, a store or a model engine. Changes are numbered within a generation.
-struct part_news {
+struct part_update {
     std::string holder; ///< ip:port
     std::uint64_t generation = 0; ///< 0: nothing is known of the holder.
     std::uint32_t first = 0; ///< Number of the first change below; 0: all parts held now stand below.
     std::uint32_t count = 0; ///< How many changes are known in all.
     bool confirmed = false; ///< The holder was heard lately; otherwise its parts may be gone.
     std::vector<part_change> changes;
-    bool operator==(const part_news&) const = default;
+    bool operator==(const part_update&) const = default;
 };
 
 /// How far a reader knows a holder's parts.
@@ -63,7 +63,7 @@
         std::deque<part_change> latest; ///< The last of those changes.
         std::unordered_map<std::uint64_t, std::uint32_t> tokens; ///< Of each part held.
         std::uint64_t usedTokens = 0;
-        instant refreshedAt {}; ///< When it was last told that this is still so.
+        instant confirmedAt {}; ///< When it was last told that this is still so.
         instant since {}; ///< When this generation was first heard of.
     };
 
@@ -72,21 +72,21 @@
     /// Adds a change to a holder's present generation.
     void apply(const std::string& holder, const part_change& change);
     /// Tells that what is known of a holder is still so.
-    void refresh(const std::string& holder, instant now);
+    void confirm(const std::string& holder, instant now);
     /// Drops holders that were not confirmed for so long.
-    void forget(instant now, milliseconds bound);
+    void expire(instant now, milliseconds maxAge);
 
     /// Takes news of another directory. News that do not follow what is known are dropped; the next ones
     /// start from the cursor.
-    void take(const part_news& news, instant now);
+    void apply(const part_update& update, instant now);
 
     /// @return the news after a reader's cursor.
-    part_news newsAfter(const part_cursor& cursor, instant now) const;
+    part_update updateAfter(const part_cursor& cursor, instant now) const;
     std::vector<part_cursor> cursors() const;
 
     /// What is known of a holder counts no more when it was not confirmed for so long. It is kept, and counts
     /// again once the same generation is confirmed.
-    static constexpr milliseconds silenceBound { 1'500 };
+    static constexpr milliseconds maxConfirmationAge { 1'500 };
 
     /// @return what is known of a holder, or null when that is nothing or was not confirmed lately.
     const holder_content* find(const std::string& holder, instant now) const;
@@ -100,13 +100,13 @@
 private:
     using holder_map = std::map<std::string, holder_content>;
 
-    holder_content& begin(const std::string& holder, std::uint64_t generation, instant now);
+    holder_content& startGeneration(const std::string& holder, std::uint64_t generation, instant now);
     void apply(const std::string& holder, holder_content& content, const part_change& change);
-    void unlink(const std::string& holder, const holder_content& content);
+    void removeFromIndex(const std::string& holder, const holder_content& content);
     void erase(holder_map::iterator place);
 
     holder_map m_holders;
-    std::unordered_map<std::uint64_t, std::vector<std::string>> m_holdersOf; // by part
+    std::unordered_map<std::uint64_t, std::vector<std::string>> m_holdersByPart; // by part
 };
 
 /// Finds a model engine that is thought to answer.
@@ -135,15 +135,15 @@
     double delayMs(const std::string& store, instant now) const;
 
 private:
-    struct moving_delay {
+    struct decaying_average {
         double ms = 0;
         instant at {};
     };
-    static double faded(const moving_delay& delay, instant now);
-    static void mix(moving_delay& delay, double sample, instant now);
+    static double decayedMs(const decaying_average& delay, instant now);
+    static void addSample(decaying_average& delay, double sample, instant now);
 
-    moving_delay m_others;
-    std::map<std::string, moving_delay> m_stores;
+    decaying_average m_baseline;
+    std::map<std::string, decaying_average> m_stores;
 };
 
 /// Plans the fetches and saves of prompts on one entry. Load it answers: conversations that return to a
@@ -156,13 +156,14 @@
 
     /// @param readTokensPerMs how fast a target reads a prompt that is not fetched.
     /// @param target the engine that will run the prompt.
-    part_plan plan(const std::vector<prompt_part>& parts, const std::string& partition,
+    part_plan plan(const std::vector<prompt_part>& parts, const std::string& cacheNamespace,
         const part_source& target, const part_directory& directory, const engine_finder& engines,
         double readTokensPerMs, instant now);
 
     /// @return the failure domain of a store from which the conversation's part comes faster than it is read.
-    std::optional<std::string> storedIn(const std::vector<prompt_part>& parts, const std::string& partition,
-        const part_directory& directory, double readTokensPerMs, instant now) const;
+    std::optional<std::string> storedIn(const std::vector<prompt_part>& parts,
+        const std::string& cacheNamespace, const part_directory& directory, double readTokensPerMs,
+        instant now) const;
 
     store_delays& delays() { return m_delays; }
 
@@ -174,14 +175,14 @@
         const part_directory& directory, instant now) const;
     std::optional<part_source> sourceOf(std::uint64_t part, const part_source& target,
         const part_directory& directory, const engine_finder& engines, instant now) const;
-    const part_store* homeOf(std::uint64_t part, std::uint64_t tokens, const std::string& failureDomain,
-        const part_directory& directory, instant now) const;
-    bool mayAskAgain(std::uint64_t part, instant now);
+    const part_store* preferredStore(std::uint64_t part, std::uint64_t tokens,
+        const std::string& failureDomain, const part_directory& directory, instant now) const;
+    bool mayRequestSave(std::uint64_t part, instant now);
 
     std::vector<part_store> m_stores;
     store_delays m_delays;
-    std::unordered_map<std::uint64_t, instant> m_asked; // saves that were asked for lately
-    instant m_nextClean {};
+    std::unordered_map<std::uint64_t, instant> m_saveRequests; // saves that were asked for lately
+    instant m_nextCleanup {};
 };
 
 } // namespace plumfold::core
--- a/packages/core/include/plumfold/core/plumfold_prefix_index.hpp
+++ b/packages/core/include/plumfold/core/plumfold_prefix_index.hpp
@@ -24,7 +24,7 @@
     /// Applies a target's own events. After a gap everything known of the target is dropped.
     void apply(const cache_events& events);
 
-    void forget(const std::string& target);
+    void remove(const std::string& target);
 
     /// @return per target, how many blocks at the start of the chain it probably holds. Targets with none are
     /// left out.
--- a/packages/core/include/plumfold/core/plumfold_prompt_chain.hpp
+++ b/packages/core/include/plumfold/core/plumfold_prompt_chain.hpp
@@ -32,6 +32,6 @@
 prompt_chain chainOf(const chain_owner& owner, std::string_view prompt);
 
 /// @return an estimate of a prompt's tokens, at least 1.
-std::uint32_t promptTokens(std::size_t promptBytes);
+std::uint32_t estimatePromptTokens(std::size_t promptBytes);
 
 } // namespace plumfold::core
--- a/packages/core/src/plumfold_block_store.cpp
+++ b/packages/core/src/plumfold_block_store.cpp
@@ -37,7 +37,7 @@
     }
     for (block_number number : reader.blocks) {
         block& each = m_blocks.at(number);
-        unlist(number);
+        removeFromEvictable(number);
         each.leases += 1;
         each.hits += 1;
         result.bytes += each.size;
@@ -74,7 +74,7 @@
     result.firstBlock = writer.firstBlock;
     // The present parent must survive the eviction that makes room.
     if (parent != 0) {
-        unlist(parent);
+        removeFromEvictable(parent);
         m_blocks.at(parent).leases += 1;
     }
     for (; index < chain.size(); ++index) {
@@ -147,7 +147,7 @@
             each.state = block_state::freeing;
         return;
     }
-    listIfEvictable(number);
+    addIfEvictable(number);
 }
 
 // ---------------------------------------------------------------- bytes
@@ -197,24 +197,24 @@
 
 // Greedy-dual-size-frequency: a block is worth its hits times the cost of recomputing it per byte, and ages
 // as others are evicted. Later blocks cost more to recompute because they attend to all before them.
-void block_store::touch(block_number number)
+void block_store::updateScore(block_number number)
 {
     block& each = m_blocks.at(number);
     double recomputeCost = 1.0 + static_cast<double>(each.depth) / 64;
     each.score = m_age + (each.hits + 1) * recomputeCost;
 }
 
-void block_store::unlist(block_number number)
+void block_store::removeFromEvictable(block_number number)
 {
     m_evictable.erase({ m_blocks.at(number).score, number });
 }
 
-void block_store::listIfEvictable(block_number number)
+void block_store::addIfEvictable(block_number number)
 {
     const block& each = m_blocks.at(number);
     if (each.state != block_state::sealed || each.leases > 0 || each.children > 0)
         return;
-    touch(number);
+    updateScore(number);
     m_evictable.insert({ m_blocks.at(number).score, number });
 }
 
@@ -248,46 +248,46 @@
 
 void block_store::free(block_number number)
 {
-    unlist(number);
-    block gone = std::move(m_blocks.at(number));
+    removeFromEvictable(number);
+    block freed = std::move(m_blocks.at(number));
     m_blocks.erase(number);
-    auto& owner = m_owners[gone.ownerNumber];
-    auto listed = owner.byHash.find(gone.hash);
+    auto& owner = m_owners[freed.ownerNumber];
+    auto listed = owner.byHash.find(freed.hash);
     if (listed != owner.byHash.end() && listed->second == number)
         owner.byHash.erase(listed);
-    m_usedBytes -= gone.size;
-    m_customerBytes[owner.owner.customer] -= gone.size;
-    if (gone.parent == 0)
+    m_usedBytes -= freed.size;
+    m_customerBytes[owner.owner.customer] -= freed.size;
+    if (freed.parent == 0)
         return;
-    block& parent = m_blocks.at(gone.parent);
+    block& parent = m_blocks.at(freed.parent);
     parent.children -= 1;
     if (parent.state == block_state::freeing && parent.children == 0 && parent.leases == 0)
-        free(gone.parent);
+        free(freed.parent);
     else
-        listIfEvictable(gone.parent);
+        addIfEvictable(freed.parent);
 }
 
 std::uint64_t block_store::purge(const std::string& customer)
 {
-    std::vector<block_number> doomed;
+    std::vector<block_number> purged;
     for (auto& owner : m_owners) {
         if (owner.owner.customer != customer)
             continue;
         for (const auto& [hash, number] : owner.byHash)
-            doomed.push_back(number);
+            purged.push_back(number);
         owner.byHash.clear();
     }
-    for (block_number number : doomed) {
-        unlist(number);
+    for (block_number number : purged) {
+        removeFromEvictable(number);
         m_blocks.at(number).state = block_state::freeing;
     }
     // Freeing a leaf frees its parents in turn; what is leased stays until its lease ends.
-    for (block_number number : doomed) {
+    for (block_number number : purged) {
         auto found = m_blocks.find(number);
         if (found != m_blocks.end() && found->second.leases == 0 && found->second.children == 0)
             free(number);
     }
-    return doomed.size();
+    return purged.size();
 }
 
 } // namespace plumfold::core
--- a/packages/core/src/plumfold_control_state.cpp
+++ b/packages/core/src/plumfold_control_state.cpp
@@ -243,9 +243,9 @@
     return {};
 }
 
-command_result control_state::applyOne(const name_weights_command& next, unix_milliseconds)
+command_result control_state::applyOne(const set_current_weights_command& next, unix_milliseconds)
 {
-    m_deployment.nameWeights(next.model, next.version);
+    m_deployment.setCurrentWeights(next.model, next.version);
     return {};
 }
 
--- a/packages/core/src/plumfold_deployment.cpp
+++ b/packages/core/src/plumfold_deployment.cpp
@@ -104,21 +104,21 @@
     return found == m_servicesByName.end() ? nullptr : &m_services[found->second];
 }
 
-std::uint32_t urgencyOf(const route& on, const customer_access* customer)
+std::uint32_t urgencyOf(const route& requestRoute, const customer_access* customer)
 {
-    auto first = customer ? customer->priority.value_or(on.priority) : on.priority;
-    return std::min(first * routeRanks + std::min(on.priority, routeRanks - 1), leastUrgent);
+    auto priority = customer ? customer->priority.value_or(requestRoute.priority) : requestRoute.priority;
+    return std::min(priority * routeRanks + std::min(requestRoute.priority, routeRanks - 1), leastUrgent);
 }
 
-const std::string* chooseService(const route& on, std::uint64_t draw)
+const std::string* chooseService(const route& requestRoute, std::uint64_t draw)
 {
     std::uint64_t total = 0;
-    for (const auto& share : on.shares)
+    for (const auto& share : requestRoute.shares)
         total += share.weight;
     if (total == 0)
         return nullptr;
     std::uint64_t place = draw % total;
-    for (const auto& share : on.shares) {
+    for (const auto& share : requestRoute.shares) {
         if (place < share.weight)
             return &share.service;
         place -= share.weight;
--- a/packages/core/src/plumfold_deployment_state.cpp
+++ b/packages/core/src/plumfold_deployment_state.cpp
@@ -19,12 +19,12 @@
     return changed;
 }
 
-bool deployment_state::nameWeights(const std::string& model, std::uint64_t version)
+bool deployment_state::setCurrentWeights(const std::string& model, std::uint64_t version)
 {
-    auto& named = weights[model];
-    if (version <= named)
+    auto& current = weights[model];
+    if (version <= current)
         return false;
-    named = version;
+    current = version;
     ++revision;
     return true;
 }
--- a/packages/core/src/plumfold_dispatcher.cpp
+++ b/packages/core/src/plumfold_dispatcher.cpp
@@ -351,7 +351,7 @@
                     out.push_back(condemn_action { suspect.fingerprint, suspect.crashes });
             }
         }
-        m_prefixes.forget(request.plan.target);
+        m_prefixes.remove(request.plan.target);
         [[fallthrough]];
     case attempt_outcome::lost:
     case attempt_outcome::not_reached:
--- a/packages/core/src/plumfold_dispatcher_news.cpp
+++ b/packages/core/src/plumfold_dispatcher_news.cpp
@@ -20,7 +20,7 @@
         return out;
     m_fullUntil.erase(report.name);
     if (restarted)
-        m_prefixes.forget(report.name);
+        m_prefixes.remove(report.name);
     if (m_entries.ownerOf(report.name, report.failureDomain) == m_options.entry)
         m_ledger.onReport(report, now);
     pump(now, out);
--- a/packages/core/src/plumfold_part_directory.cpp
+++ b/packages/core/src/plumfold_part_directory.cpp
@@ -12,68 +12,68 @@
 /// Changes of a holder that readers may lag behind before they are told all its parts again.
 constexpr std::size_t maxLatestChanges = 2'000;
 /// A save that was asked for is not asked for again so soon: its event comes late.
-constexpr milliseconds saveAgainAfter { 3'000 };
+constexpr milliseconds saveRetryDelay { 3'000 };
 /// A store that has just started anew gets no saves until every entry knows that its former parts are gone;
 /// otherwise one could fetch a part that is being written.
-constexpr milliseconds quietAfterReset { 4'500 };
+constexpr milliseconds saveDelayAfterReset { 4'500 };
 /// Part of a store's memory that saves may fill.
-constexpr double fillShare = 0.96;
+constexpr double maxFillRatio = 0.96;
 /// Preference of a store in the target's own failure domain, where a transfer takes half the time.
-constexpr double nearPreference = 4;
+constexpr double localDomainWeight = 4;
 /// The learned delay of a store halves in this time, so that it is tried again.
 constexpr double delayHalfLifeMs = 1'500;
 constexpr double slowSampleWeight = 0.2;
 constexpr double quickSampleWeight = 0.5;
-constexpr double longestDelayMs = 2'000;
+constexpr double maxDelaySampleMs = 2'000;
 /// A fetch may delay its own caller by this much, since reading takes the target's time from all its
 /// requests.
 constexpr double acceptedDelayMs = 250;
 /// A transfer between failure domains takes so many times as long.
-constexpr double farTransferFactor = 2;
+constexpr double remoteTransferFactor = 2;
 constexpr double hashRange = 18446744073709551616.0; // 2^64
 
 /// @return a number that grows with the time that a transfer takes.
-double transferCost(bool isNear, double linkMegabitsPerSecond)
+double transferCost(bool sameDomain, double linkMegabitsPerSecond)
 {
-    return (isNear ? 1.0 : farTransferFactor) / linkMegabitsPerSecond;
+    return (sameDomain ? 1.0 : remoteTransferFactor) / linkMegabitsPerSecond;
 }
 
 } // namespace
 
 std::uint64_t hashOf(const part_key& key)
 {
-    return hashBytes(key.id, hashBytes(key.partition));
+    return hashBytes(key.id, hashBytes(key.cacheNamespace));
 }
 
-part_directory::holder_content& part_directory::begin(
+part_directory::holder_content& part_directory::startGeneration(
     const std::string& holder, std::uint64_t generation, instant now)
 {
     auto [place, isNew] = m_holders.try_emplace(holder);
     auto& content = place->second;
     if (!isNew)
-        unlink(holder, content);
+        removeFromIndex(holder, content);
     auto since = content.generation == generation ? content.since : now;
-    content = { generation, 0, {}, {}, 0, content.refreshedAt, since };
+    content = { generation, 0, {}, {}, 0, content.confirmedAt, since };
     return content;
 }
 
 void part_directory::reset(const std::string& holder, std::uint64_t generation, instant now)
 {
-    begin(holder, generation, now).refreshedAt = now;
+    startGeneration(holder, generation, now).confirmedAt = now;
 }
 
-void part_directory::unlink(const std::string& holder, const holder_content& content)
+void part_directory::removeFromIndex(const std::string& holder, const holder_content& content)
 {
     for (const auto& [part, tokens] : content.tokens) {
-        auto found = m_holdersOf.find(part);
-        if (found != m_holdersOf.end() && std::erase(found->second, holder) && found->second.empty())
-            m_holdersOf.erase(found);
+        auto found = m_holdersByPart.find(part);
+        if (found != m_holdersByPart.end() && std::erase(found->second, holder) && found->second.empty())
+            m_holdersByPart.erase(found);
     }
 }
 
 void part_directory::erase(holder_map::iterator place)
 {
-    unlink(place->first, place->second);
+    removeFromIndex(place->first, place->second);
     m_holders.erase(place);
 }
 
@@ -85,14 +85,14 @@
     content.usedTokens -= before;
     if (change.tokens == 0 && before != 0) {
         content.tokens.erase(known);
-        auto& others = m_holdersOf[change.part];
+        auto& others = m_holdersByPart[change.part];
         std::erase(others, holder);
         if (others.empty())
-            m_holdersOf.erase(change.part);
+            m_holdersByPart.erase(change.part);
     } else if (change.tokens != 0) {
         content.tokens[change.part] = change.tokens;
         if (before == 0)
-            m_holdersOf[change.part].push_back(holder);
+            m_holdersByPart[change.part].push_back(holder);
     }
 }
 
@@ -109,70 +109,70 @@
         content.latest.pop_front();
 }
 
-void part_directory::refresh(const std::string& holder, instant now)
+void part_directory::confirm(const std::string& holder, instant now)
 {
     auto found = m_holders.find(holder);
     if (found != m_holders.end())
-        found->second.refreshedAt = now;
+        found->second.confirmedAt = now;
 }
 
-void part_directory::forget(instant now, milliseconds bound)
+void part_directory::expire(instant now, milliseconds maxAge)
 {
     for (auto place = m_holders.begin(); place != m_holders.end();) {
         auto next = std::next(place);
-        if (now - place->second.refreshedAt > bound)
+        if (now - place->second.confirmedAt > maxAge)
             erase(place);
         place = next;
     }
 }
 
-void part_directory::take(const part_news& news, instant now)
+void part_directory::apply(const part_update& update, instant now)
 {
-    auto found = m_holders.find(news.holder);
-    if (news.generation == 0) {
+    auto found = m_holders.find(update.holder);
+    if (update.generation == 0) {
         if (found != m_holders.end())
             erase(found);
         return;
     }
-    bool isNew = found == m_holders.end() || found->second.generation != news.generation;
-    bool isWhole = news.first == 0 && (isNew || news.count > found->second.count);
+    bool isNew = found == m_holders.end() || found->second.generation != update.generation;
+    bool isWhole = update.first == 0 && (isNew || update.count > found->second.count);
     if (isWhole) {
-        auto& content = begin(news.holder, news.generation, now);
-        for (const auto& each : news.changes)
-            apply(news.holder, content, each);
-        content.count = news.count;
-    } else if (isNew || news.first > found->second.count) {
+        auto& content = startGeneration(update.holder, update.generation, now);
+        for (const auto& each : update.changes)
+            apply(update.holder, content, each);
+        content.count = update.count;
+    } else if (isNew || update.first > found->second.count) {
         return;
-    } else if (news.first != 0) {
-        std::size_t known = found->second.count - news.first;
-        for (std::size_t index = known; index < news.changes.size(); ++index)
-            apply(news.holder, news.changes[index]);
+    } else if (update.first != 0) {
+        std::size_t known = found->second.count - update.first;
+        for (std::size_t index = known; index < update.changes.size(); ++index)
+            apply(update.holder, update.changes[index]);
     }
-    if (news.confirmed)
-        refresh(news.holder, now);
+    if (update.confirmed)
+        confirm(update.holder, now);
 }
 
-part_news part_directory::newsAfter(const part_cursor& cursor, instant now) const
+part_update part_directory::updateAfter(const part_cursor& cursor, instant now) const
 {
-    part_news news;
-    news.holder = cursor.holder;
+    part_update update;
+    update.holder = cursor.holder;
     auto found = m_holders.find(cursor.holder);
     if (found == m_holders.end())
-        return news;
+        return update;
     const auto& content = found->second;
-    news.generation = content.generation;
-    news.confirmed = now - content.refreshedAt <= silenceBound;
-    news.count = content.count;
+    update.generation = content.generation;
+    update.confirmed = now - content.confirmedAt <= maxConfirmationAge;
+    update.count = content.count;
     auto oldest = content.count - static_cast<std::uint32_t>(content.latest.size());
     bool follows = cursor.generation == content.generation && cursor.count > 0 && cursor.count >= oldest;
     if (follows) {
-        news.first = std::min(cursor.count, content.count);
-        news.changes.assign(content.latest.begin() + (news.first - oldest), content.latest.end());
-        return news;
+        update.first = std::min(cursor.count, content.count);
+        update.changes.assign(content.latest.begin() + (update.first - oldest), content.latest.end());
+        return update;
     }
     for (const auto& [part, tokens] : content.tokens)
-        news.changes.push_back({ part, tokens });
-    return news;
+        update.changes.push_back({ part, tokens });
+    return update;
 }
 
 std::vector<part_cursor> part_directory::cursors() const
@@ -186,30 +186,30 @@
 const part_directory::holder_content* part_directory::find(const std::string& holder, instant now) const
 {
     auto found = m_holders.find(holder);
-    bool counts = found != m_holders.end() && now - found->second.refreshedAt <= silenceBound;
-    return counts ? &found->second : nullptr;
+    bool isConfirmed = found != m_holders.end() && now - found->second.confirmedAt <= maxConfirmationAge;
+    return isConfirmed ? &found->second : nullptr;
 }
 
 std::vector<std::string> part_directory::holdersOf(std::uint64_t part, instant now) const
 {
     std::vector<std::string> holders;
-    auto found = m_holdersOf.find(part);
-    if (found == m_holdersOf.end())
+    auto found = m_holdersByPart.find(part);
+    if (found == m_holdersByPart.end())
         return holders;
     std::copy_if(found->second.begin(), found->second.end(), std::back_inserter(holders),
         [&](const auto& holder) { return find(holder, now) != nullptr; });
     return holders;
 }
 
-double store_delays::faded(const moving_delay& delay, instant now)
+double store_delays::decayedMs(const decaying_average& delay, instant now)
 {
     double halves = std::chrono::duration<double, std::milli>(now - delay.at).count() / delayHalfLifeMs;
     return delay.ms * std::exp2(-std::max(0.0, halves));
 }
 
-void store_delays::mix(moving_delay& delay, double sample, instant now)
+void store_delays::addSample(decaying_average& delay, double sample, instant now)
 {
-    double known = faded(delay, now);
+    double known = decayedMs(delay, now);
     // A slow store delays every fetch, a loaded target only some: quick answers count for more.
     double weight = sample < known ? quickSampleWeight : slowSampleWeight;
     delay.ms = known * (1 - weight) + sample * weight;
@@ -218,11 +218,11 @@
 
 void store_delays::record(const std::vector<std::string>& stores, double excessMs, instant now)
 {
-    double sample = std::min(std::max(excessMs, 0.0), longestDelayMs);
+    double sample = std::min(std::max(excessMs, 0.0), maxDelaySampleMs);
     if (stores.empty())
-        mix(m_others, sample, now);
+        addSample(m_baseline, sample, now);
     for (const auto& store : stores)
-        mix(m_stores[store], sample, now);
+        addSample(m_stores[store], sample, now);
 }
 
 double store_delays::delayMs(const std::string& store, instant now) const
@@ -230,7 +230,7 @@
     auto found = m_stores.find(store);
     if (found == m_stores.end())
         return 0;
-    return std::max(0.0, faded(found->second, now) - faded(m_others, now));
+    return std::max(0.0, decayedMs(found->second, now) - decayedMs(m_baseline, now));
 }
 
 bool part_planner::isWorthFetching(
@@ -241,12 +241,13 @@
 }
 
 std::optional<std::string> part_planner::storedIn(const std::vector<prompt_part>& parts,
-    const std::string& partition, const part_directory& directory, double readTokensPerMs, instant now) const
+    const std::string& cacheNamespace, const part_directory& directory, double readTokensPerMs,
+    instant now) const
 {
     if (parts.size() < 2)
         return std::nullopt;
     const auto& shared = parts[parts.size() - 2];
-    const auto* source = storeOf(hashOf({ partition, shared.id }), {}, directory, now);
+    const auto* source = storeOf(hashOf({ cacheNamespace, shared.id }), {}, directory, now);
     if (!source || !isWorthFetching(source->address, shared.tokens, readTokensPerMs, now))
         return std::nullopt;
     return source->failureDomain;
@@ -318,21 +319,22 @@
     return best;
 }
 
-const part_store* part_planner::homeOf(std::uint64_t part, std::uint64_t tokens,
+const part_store* part_planner::preferredStore(std::uint64_t part, std::uint64_t tokens,
     const std::string& failureDomain, const part_directory& directory, instant now) const
 {
     const part_store* best = nullptr;
     double bestScore = 0;
     for (const auto& store : m_stores) {
         const auto* known = directory.find(store.address, now);
-        bool ready = known && now - known->since >= quietAfterReset;
-        auto room = static_cast<std::uint64_t>(static_cast<double>(store.capacityTokens) * fillShare);
-        if (!ready || known->usedTokens + tokens > room)
+        bool ready = known && now - known->since >= saveDelayAfterReset;
+        auto usableTokens
+            = static_cast<std::uint64_t>(static_cast<double>(store.capacityTokens) * maxFillRatio);
+        if (!ready || known->usedTokens + tokens > usableTokens)
             continue;
         // Weighted rendezvous: every entry comes to the same store without a message.
         double draw = (static_cast<double>(hashBytes(store.address, part)) + 1) / hashRange;
         double weight = static_cast<double>(store.capacityTokens)
-            * (store.failureDomain == failureDomain ? nearPreference : 1.0);
+            * (store.failureDomain == failureDomain ? localDomainWeight : 1.0);
         double score = -weight / std::log(std::min(draw, 1 - 1e-12));
         if (best && score <= bestScore)
             continue;
@@ -342,22 +344,22 @@
     return best;
 }
 
-bool part_planner::mayAskAgain(std::uint64_t part, instant now)
+bool part_planner::mayRequestSave(std::uint64_t part, instant now)
 {
-    if (now >= m_nextClean) {
-        std::erase_if(m_asked, [&](const auto& each) { return now - each.second >= saveAgainAfter; });
-        m_nextClean = now + saveAgainAfter;
+    if (now >= m_nextCleanup) {
+        std::erase_if(m_saveRequests, [&](const auto& each) { return now - each.second >= saveRetryDelay; });
+        m_nextCleanup = now + saveRetryDelay;
     }
-    auto [place, isNew] = m_asked.emplace(part, now);
+    auto [place, isNew] = m_saveRequests.emplace(part, now);
     if (isNew)
         return true;
-    if (now - place->second < saveAgainAfter)
+    if (now - place->second < saveRetryDelay)
         return false;
     place->second = now;
     return true;
 }
 
-part_plan part_planner::plan(const std::vector<prompt_part>& parts, const std::string& partition,
+part_plan part_planner::plan(const std::vector<prompt_part>& parts, const std::string& cacheNamespace,
     const part_source& target, const part_directory& directory, const engine_finder& engines,
     double readTokensPerMs, instant now)
 {
@@ -366,15 +368,16 @@
     out.saveTo.resize(parts.size());
     // The last part is the request's own and does not return.
     for (std::size_t index = 0; index + 1 < parts.size(); ++index) {
-        auto part = hashOf({ partition, parts[index].id });
+        auto part = hashOf({ cacheNamespace, parts[index].id });
         auto source = sourceOf(part, target, directory, engines, now);
         if (source && isWorthFetching(source->address, parts[index].tokens, readTokensPerMs, now))
             out.fetchFrom[index] = source->address;
         if (storeOf(part, target.failureDomain, directory, now))
             continue;
-        const auto* home = homeOf(part, parts[index].tokens, target.failureDomain, directory, now);
-        if (home && mayAskAgain(part, now))
-            out.saveTo[index] = home->address;
+        const auto* preferred
+            = preferredStore(part, parts[index].tokens, target.failureDomain, directory, now);
+        if (preferred && mayRequestSave(part, now))
+            out.saveTo[index] = preferred->address;
     }
     return out;
 }
--- a/packages/core/src/plumfold_prefix_index.cpp
+++ b/packages/core/src/plumfold_prefix_index.cpp
@@ -76,16 +76,16 @@
 void prefix_index::apply(const cache_events& events)
 {
     auto& position = m_positions[events.target];
-    bool sameProcess = position.incarnation == events.incarnation;
-    bool old = sameProcess && events.sequence < position.next;
-    if (old && !events.complete)
+    bool sameIncarnation = position.incarnation == events.incarnation;
+    bool isStale = sameIncarnation && events.sequence < position.next;
+    if (isStale && !events.complete)
         return;
-    bool gap = !sameProcess || events.sequence != position.next;
+    bool gap = !sameIncarnation || events.sequence != position.next;
     if (events.complete || gap)
-        forget(events.target);
-    auto& present = m_positions[events.target];
-    present.incarnation = events.incarnation;
-    present.next = events.sequence + events.added.size() + events.removed.size();
+        remove(events.target);
+    auto& updated = m_positions[events.target];
+    updated.incarnation = events.incarnation;
+    updated.next = events.sequence + events.added.size() + events.removed.size();
     target_number number = numberOf(events.target);
     for (std::uint64_t block : events.added)
         addBlock(number, block);
@@ -93,7 +93,7 @@
         removeBlock(number, block);
 }
 
-void prefix_index::forget(const std::string& target)
+void prefix_index::remove(const std::string& target)
 {
     m_positions.erase(target);
     auto found = m_numbers.find(target);
--- a/packages/core/src/plumfold_prompt_chain.cpp
+++ b/packages/core/src/plumfold_prompt_chain.cpp
@@ -14,14 +14,14 @@
     hash = hashBytes(owner.version, hash);
     prompt_chain chain;
     chain.reserve(prompt.size() / promptBlockBytes);
-    for (std::size_t at = 0; at + promptBlockBytes <= prompt.size(); at += promptBlockBytes) {
-        hash = hashBytes(prompt.substr(at, promptBlockBytes), hash);
+    for (std::size_t offset = 0; offset + promptBlockBytes <= prompt.size(); offset += promptBlockBytes) {
+        hash = hashBytes(prompt.substr(offset, promptBlockBytes), hash);
         chain.push_back(hash);
     }
     return chain;
 }
 
-std::uint32_t promptTokens(std::size_t promptBytes)
+std::uint32_t estimatePromptTokens(std::size_t promptBytes)
 {
     return static_cast<std::uint32_t>(std::max<std::size_t>(1, promptBytes / promptBytesPerToken));
 }
--- a/packages/core/src/plumfold_router.cpp
+++ b/packages/core/src/plumfold_router.cpp
@@ -81,7 +81,8 @@
         return result;
     result.cachedBlocks = cachedBlocks;
     auto uncachedAfter = [&](std::uint32_t blocks) {
-        return spec.promptTokens - std::min(spec.promptTokens, promptTokens(blocks * promptBlockBytes));
+        return spec.promptTokens
+            - std::min(spec.promptTokens, estimatePromptTokens(blocks * promptBlockBytes));
     };
     std::uint32_t uncached = cachedBlocks == 0 ? spec.promptTokens : uncachedAfter(cachedBlocks);
     result.firstToken = view.speeds.firstToken(spec.model, uncached);
--- a/packages/entry/src/plumfold_completion_flow.cpp
+++ b/packages/entry/src/plumfold_completion_flow.cpp
@@ -144,7 +144,7 @@
     spec.model = m_request.model;
     spec.adapter = m_request.adapter;
     spec.fingerprint = m_flow.fingerprint;
-    spec.promptTokens = core::promptTokens(m_request.prompt.size());
+    spec.promptTokens = core::estimatePromptTokens(m_request.prompt.size());
     spec.maxTokens = m_request.maxTokens;
     spec.chain = core::chainOf(m_owner, m_request.prompt);
     spec.priority = m_flow.headers.priority;
--- a/packages/forwarding/src/plumfold_deployment_follower.hpp
+++ b/packages/forwarding/src/plumfold_deployment_follower.hpp
@@ -23,7 +23,7 @@
     std::vector<core::target_announcement> targets; ///< Those that changed.
     bool everything = false; ///< The targets are all that there are.
     std::uint32_t entries = 1; ///< Entries that follow any control VM.
-    std::vector<core::part_news> parts;
+    std::vector<core::part_update> parts;
     std::vector<core::target_load> loads;
     std::uint64_t targetClock = 0; ///< The targets' clock in milliseconds; 0: not known.
 };
--- a/packages/forwarding/src/plumfold_forwarding_role.cpp
+++ b/packages/forwarding/src/plumfold_forwarding_role.cpp
@@ -111,7 +111,7 @@
         m_state.board.setEntries(news.entries);
         m_state.repeats.setEntries(news.entries);
         for (const auto& holder : news.parts)
-            m_state.parts.take(holder, now);
+            m_state.parts.apply(holder, now);
         m_state.targetClock = news.targetClock;
         m_state.targetClockAt = now;
         if (news.deployment)
@@ -171,7 +171,7 @@
         while (true) {
             co_await pause(housekeepingInterval);
             m_state.connections.closeIdle();
-            m_state.parts.forget(runtime::now(), partsForgetTime);
+            m_state.parts.expire(runtime::now(), partsForgetTime);
         }
     }
 
--- a/packages/forwarding/src/plumfold_request_attempt.cpp
+++ b/packages/forwarding/src/plumfold_request_attempt.cpp
@@ -52,7 +52,7 @@
 bool request_forwarder::knowsParts() const
 {
     return m_state.targetClock != 0
-        && runtime::now() - m_state.targetClockAt <= core::part_directory::silenceBound;
+        && runtime::now() - m_state.targetClockAt <= core::part_directory::maxConfirmationAge;
 }
 
 void request_forwarder::planParts(const core::placement& on, platform::target_request_head& head)
--- a/packages/wire/include/plumfold/wire/plumfold_convert.hpp
+++ b/packages/wire/include/plumfold/wire/plumfold_convert.hpp
@@ -100,8 +100,8 @@
 void write(TargetLoad::Builder out, const core::target_load& value);
 core::target_load read(TargetLoad::Reader in);
 
-void write(PartNews::Builder out, const core::part_news& value);
-core::part_news read(PartNews::Reader in);
+void write(PartNews::Builder out, const core::part_update& value);
+core::part_update read(PartNews::Reader in);
 
 void write(PartCursor::Builder out, const core::part_cursor& value);
 core::part_cursor read(PartCursor::Reader in);
--- a/packages/wire/src/plumfold_convert_commands.cpp
+++ b/packages/wire/src/plumfold_convert_commands.cpp
@@ -108,7 +108,7 @@
     to.setInService(value.inService);
 }
 
-void writeCommand(Command::Builder out, const core::name_weights_command& value)
+void writeCommand(Command::Builder out, const core::set_current_weights_command& value)
 {
     auto to = out.initNameWeights();
     to.setModel(value.model);
@@ -169,7 +169,7 @@
             in.getSetInService().getInService() };
         return value;
     case Command::NAME_WEIGHTS:
-        value.what = core::name_weights_command { text(in.getNameWeights().getModel()),
+        value.what = core::set_current_weights_command { text(in.getNameWeights().getModel()),
             in.getNameWeights().getVersion() };
         return value;
     case Command::VERDICT: {
--- a/packages/wire/src/plumfold_convert_deployment.cpp
+++ b/packages/wire/src/plumfold_convert_deployment.cpp
@@ -99,7 +99,7 @@
         core::milliseconds(in.getAgeMs()), in.getBusy() };
 }
 
-void write(PartNews::Builder out, const core::part_news& value)
+void write(PartNews::Builder out, const core::part_update& value)
 {
     out.setHolder(value.holder);
     out.setGeneration(value.generation);
@@ -113,9 +113,9 @@
     }
 }
 
-core::part_news read(PartNews::Reader in)
+core::part_update read(PartNews::Reader in)
 {
-    core::part_news value;
+    core::part_update value;
     value.holder = text(in.getHolder());
     value.generation = in.getGeneration();
     value.first = in.getFirst();
--- a/tests/core/plumfold_part_directory_tests.cpp
+++ b/tests/core/plumfold_part_directory_tests.cpp
@@ -20,7 +20,7 @@
     part_cursor cursor { store, 0, 0 };
     for (const auto& each : to.cursors())
         cursor = each;
-    to.take(from.newsAfter(cursor, now), now);
+    to.apply(from.updateAfter(cursor, now), now);
 }
 
 std::vector<service_limits> oneStore()
@@ -32,7 +32,7 @@
 }
 
 const std::vector<prompt_part> prompt { { "system", 100 }, { "session", 2000 }, { "own", 50 } };
-constexpr double readRate = 48;
+constexpr double prefillRate = 48;
 const part_source target { "10.0.1.1:80", "a", 740'000 };
 
 std::optional<part_source> noEngines(const std::string&)
@@ -55,7 +55,7 @@
     CHECK_FALSE(entry.find(store, later));
     relay(control, entry, later); // control itself heard nothing of the store
     CHECK_FALSE(entry.find(store, later));
-    control.refresh(store, later);
+    control.confirm(store, later);
     control.apply(store, part("b"));
     relay(control, entry, later);
     REQUIRE(entry.find(store, later));
@@ -83,16 +83,16 @@
     planner.setStores(oneStore());
     directory.reset(store, 7, start);
     auto later = start + milliseconds(10'000);
-    directory.refresh(store, later);
-    auto first = planner.plan(prompt, "w1", target, directory, noEngines, readRate, later);
+    directory.confirm(store, later);
+    auto first = planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, later);
     CHECK(first.saveTo == std::vector<std::string> { store, store, "" });
     CHECK_FALSE(first.fetches());
-    CHECK_FALSE(planner.plan(prompt, "w1", target, directory, noEngines, readRate, later).saves());
+    CHECK_FALSE(planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, later).saves());
     directory.apply(store, part("session", 2000));
-    auto next = planner.plan(prompt, "w1", target, directory, noEngines, readRate, later);
+    auto next = planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, later);
     CHECK(next.fetchFrom == std::vector<std::string> { "", store, "" });
     // Other weights find nothing.
-    CHECK_FALSE(planner.plan(prompt, "w2", target, directory, noEngines, readRate, later).fetches());
+    CHECK_FALSE(planner.plan(prompt, "w2", target, directory, noEngines, prefillRate, later).fetches());
 }
 
 TEST_CASE(
@@ -103,7 +103,7 @@
     planner.setStores(oneStore());
     directory.reset(store, 7, start);
     CHECK_FALSE(
-        planner.plan(prompt, "w1", target, directory, noEngines, readRate, start + milliseconds(1'000))
+        planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, start + milliseconds(1'000))
             .saves());
 }
 
@@ -116,10 +116,10 @@
     directory.apply(store, part("session", 2000));
     for (int count = 0; count < 20; ++count)
         planner.delays().record({ store }, 400, start);
-    CHECK_FALSE(planner.plan(prompt, "w1", target, directory, noEngines, readRate, start).fetches());
+    CHECK_FALSE(planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, start).fetches());
     auto later = start + milliseconds(10'000);
-    directory.refresh(store, later);
-    CHECK(planner.plan(prompt, "w1", target, directory, noEngines, readRate, later).fetches());
+    directory.confirm(store, later);
+    CHECK(planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, later).fetches());
 }
 
 TEST_CASE("A part that its holder lost is not found by any reader", "[part_directory]")
@@ -166,9 +166,9 @@
     lagging.reset(store, 7, start);
     lagging.apply(store, part("a"));
     relay(lagging, entry, start);
-    auto before = lagging.newsAfter({ store, 7, 0 }, start);
+    auto before = lagging.updateAfter({ store, 7, 0 }, start);
     entry.apply(store, part("a", 0));
-    entry.take(before, start);
+    entry.apply(before, start);
     relay(lagging, entry, start);
     CHECK(entry.holdersOf(part("a").part, start).empty());
 }
@@ -182,17 +182,17 @@
     planner.setStores(oneStore());
     directory.reset(other, 7, start);
     directory.apply(other, part("session", 2000));
-    auto answers = [&](const std::string& address) {
+    auto findEngine = [&](const std::string& address) {
         return std::optional(part_source { address, "b", 740'000 });
     };
-    auto planned = planner.plan(prompt, "w1", target, directory, answers, readRate, start);
+    auto planned = planner.plan(prompt, "w1", target, directory, findEngine, prefillRate, start);
     CHECK(planned.fetchFrom == std::vector<std::string> { "", other, "" });
-    CHECK_FALSE(planner.plan(prompt, "w1", target, directory, noEngines, readRate, start).fetches());
+    CHECK_FALSE(planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, start).fetches());
     // What the target holds itself needs no source.
     directory.reset(target.address, 8, start);
     directory.apply(target.address, part("session", 2000));
-    directory.forget(start + milliseconds(10), milliseconds(5));
-    CHECK_FALSE(planner.plan(prompt, "w1", target, directory, answers, readRate, start).fetches());
+    directory.expire(start + milliseconds(10), milliseconds(5));
+    CHECK_FALSE(planner.plan(prompt, "w1", target, directory, findEngine, prefillRate, start).fetches());
 }
 
 TEST_CASE("A store is a surer source than an engine that may have lost the part by now", "[part_planner]")
@@ -205,10 +205,12 @@
         directory.reset(holder, 7, start);
         directory.apply(holder, part("session", 2000));
     }
-    auto answers = [&](const std::string& address) {
+    auto findEngine = [&](const std::string& address) {
         return address == other ? std::optional(part_source { address, "a", 740'000 }) : std::nullopt;
     };
-    CHECK(planner.plan(prompt, "w1", target, directory, answers, readRate, start).fetchFrom[1] == store);
+    CHECK(
+        planner.plan(prompt, "w1", target, directory, findEngine, prefillRate, start).fetchFrom[1] == store);
     directory.apply(store, part("session", 0));
-    CHECK(planner.plan(prompt, "w1", target, directory, answers, readRate, start).fetchFrom[1] == other);
+    CHECK(
+        planner.plan(prompt, "w1", target, directory, findEngine, prefillRate, start).fetchFrom[1] == other);
 }
--- a/tests/core/plumfold_prefix_index_tests.cpp
+++ b/tests/core/plumfold_prefix_index_tests.cpp
@@ -13,7 +13,7 @@
     auto found = index.match({ 1, 2, 3, 4 });
     CHECK(found.at("a") == 3);
     CHECK(found.at("b") == 2);
-    index.forget("a");
+    index.remove("a");
     CHECK_FALSE(index.match({ 1, 2, 3 }).contains("a"));
 }
 
--- a/tests/fakes/plumfold_fake_engine.cpp
+++ b/tests/fakes/plumfold_fake_engine.cpp
@@ -104,7 +104,7 @@
     --m_engine.m_queued;
     ++m_engine.m_running;
     ++m_engine.m_runs;
-    m_promptTokens = core::promptTokens(prompt.size());
+    m_promptTokens = core::estimatePromptTokens(prompt.size());
 }
 
 fake_engine::run::~run()
@@ -128,8 +128,9 @@
     {
         std::lock_guard lock(m_engine.m_mutex);
         std::uint32_t blocks = std::max(imported, m_engine.cachedBlocks(chain));
-        m_cachedTokens
-            = blocks == 0 ? 0 : std::min(m_promptTokens, core::promptTokens(blocks * core::promptBlockBytes));
+        m_cachedTokens = blocks == 0
+            ? 0
+            : std::min(m_promptTokens, core::estimatePromptTokens(blocks * core::promptBlockBytes));
         uncached = m_promptTokens - m_cachedTokens;
         m_engine.m_promptTokensSeen += m_promptTokens;
         m_engine.m_cachedTokensSeen += m_cachedTokens;
