--- a/packages/core/include/plumfold/core/plumfold_part_directory.hpp
+++ b/packages/core/include/plumfold/core/plumfold_part_directory.hpp
@@ -16,85 +16,90 @@
 
 namespace plumfold::core {
 
-/// Names a KV part as its holders do: parts of another cache namespace are never found.
+/// Identifies a KV part. Holders compare the whole key, so a lookup never finds a part of another cache
+/// namespace.
 struct part_key {
     std::string cacheNamespace;
     std::string id;
     auto operator<=>(const part_key&) const = default;
 };
 
-/// @return the number under which directories know a part; two parts with one number cost a fetch that finds
-/// nothing, since holders compare the whole key.
+/// @return the hash by which directories identify a part. A collision only costs a fetch that finds nothing,
+/// since holders compare the whole key.
 std::uint64_t hashOf(const part_key& key);
 
-/// A KV part that a holder gained or lost.
+/// A KV part that a holder added or removed.
 struct part_change {
-    std::uint64_t part = 0; ///< hashOf() its key.
-    std::uint32_t tokens = 0; ///< 0: it is no longer held.
+    std::uint64_t part = 0; ///< hashOf() of its key.
+    std::uint32_t tokens = 0; ///< 0: the part was removed.
     auto operator<=>(const part_change&) const = default;
 };
 
-/// News of the parts of one holder, a store or a model engine. Changes are numbered within a generation.
+/// Update about the parts of one holder, which is a store or a model engine. Changes are numbered within a
+/// generation.
 struct part_update {
     std::string holder; ///< ip:port
-    std::uint64_t generation = 0; ///< 0: nothing is known of the holder.
-    std::uint32_t first = 0; ///< Number of the first change below; 0: all parts held now stand below.
-    std::uint32_t count = 0; ///< How many changes are known in all.
-    bool confirmed = false; ///< The holder was heard lately; otherwise its parts may be gone.
+    std::uint64_t generation = 0; ///< 0: the holder is unknown.
+    std::uint32_t first = 0; ///< Number of the first entry of changes; 0: changes lists all parts held now.
+    std::uint32_t count = 0; ///< Number of all changes of the generation so far.
+    bool confirmed
+        = false; ///< Whether the sender's data about the holder are recent; else the parts may be gone.
     std::vector<part_change> changes;
     bool operator==(const part_update&) const = default;
 };
 
-/// How far a reader knows a holder's parts.
+/// Position of a reader in the changes of one holder.
 struct part_cursor {
-    std::string holder;
+    std::string holder; ///< ip:port
     std::uint64_t generation = 0;
-    std::uint32_t count = 0;
+    std::uint32_t count = 0; ///< Number of changes of that generation applied so far.
     auto operator<=>(const part_cursor&) const = default;
 };
 
-/// Which stores and model engines hold which KV parts whole. Every control VM and every entry has one.
+/// Tracks which stores and model engines hold which complete KV parts. Every control VM and every entry keeps
+/// one.
 class part_directory {
 public:
-    /// What is known of one holder.
+    /// The parts of one holder as last reported.
     struct holder_content {
         std::uint64_t generation = 0;
-        std::uint32_t count = 0; ///< Changes up to now.
-        std::deque<part_change> latest; ///< The last of those changes.
-        std::unordered_map<std::uint64_t, std::uint32_t> tokens; ///< Of each part held.
-        std::uint64_t usedTokens = 0;
-        instant confirmedAt {}; ///< When it was last told that this is still so.
-        instant since {}; ///< When this generation was first heard of.
+        std::uint32_t count = 0; ///< Number of changes in this generation so far.
+        std::deque<part_change> latest; ///< The most recent of those changes.
+        std::unordered_map<std::uint64_t, std::uint32_t> tokens; ///< Tokens of each part held, by part.
+        std::uint64_t usedTokens = 0; ///< Sum over all parts held.
+        instant confirmedAt {}; ///< When this content was last confirmed.
+        instant since {}; ///< When this generation was first reported.
     };
 
-    /// Starts a generation of a holder with no parts; everything known before is dropped.
+    /// Starts a generation of a holder without any parts and drops the parts of the previous one.
     void reset(const std::string& holder, std::uint64_t generation, instant now);
-    /// Adds a change to a holder's present generation.
+    /// Appends a change to a holder's current generation; ignored for an unknown holder.
     void apply(const std::string& holder, const part_change& change);
-    /// Tells that what is known of a holder is still so.
+    /// Confirms that a holder's content is still valid.
     void confirm(const std::string& holder, instant now);
-    /// Drops holders that were not confirmed for so long.
+    /// Removes holders whose last confirmation is older than a maximum age.
     void expire(instant now, milliseconds maxAge);
 
-    /// Takes news of another directory. News that do not follow what is known are dropped; the next ones
-    /// start from the cursor.
+    /// Applies an update from another directory; generation 0 removes the holder. An update that does not
+    /// continue the known content is ignored: the next one starts at this directory's cursor.
     void apply(const part_update& update, instant now);
 
-    /// @return the news after a reader's cursor.
+    /// @return the changes after a reader's cursor, or all parts when those changes are no longer kept.
     part_update updateAfter(const part_cursor& cursor, instant now) const;
+    /// @return the position of this directory for each holder.
     std::vector<part_cursor> cursors() const;
 
-    /// What is known of a holder counts no more when it was not confirmed for so long. It is kept, and counts
-    /// again once the same generation is confirmed.
+    /// A holder's content is unconfirmed, and lookups skip it, when its last confirmation is older than this.
+    /// It is kept and becomes valid again once the same generation is confirmed.
     static constexpr milliseconds maxConfirmationAge { 1'500 };
 
-    /// @return what is known of a holder, or null when that is nothing or was not confirmed lately.
+    /// @return the content of a holder, or null when the holder is unknown or its content unconfirmed.
     const holder_content* find(const std::string& holder, instant now) const;
 
-    /// @return the addresses of those that hold a part, as far as confirmed lately.
+    /// @return the addresses of the holders of a part whose content is confirmed.
     std::vector<std::string> holdersOf(std::uint64_t part, instant now) const;
 
-    /// @return the holders and what is known of each.
+    /// @return all holders and their content, including unconfirmed ones.
     const std::map<std::string, holder_content>& holders() const { return m_holders; }
 
 private:
@@ -106,14 +111,14 @@
     void erase(holder_map::iterator place);
 
     holder_map m_holders;
-    std::unordered_map<std::uint64_t, std::vector<std::string>> m_holdersByPart; // by part
+    std::unordered_map<std::uint64_t, std::vector<std::string>> m_holdersByPart;
 };
 
-/// Finds a model engine that is thought to answer.
+/// Finds a model engine that is considered reachable.
 /// @param address ip:port
 using engine_finder = std::function<std::optional<part_source>(const std::string& address)>;
 
-/// Where the parts of one prompt are fetched from and saved to: an address for each part, empty for none.
+/// Where the parts of one prompt are fetched from and saved to: one address per part, empty for none.
 struct part_plan {
     std::vector<std::string> fetchFrom;
     std::vector<std::string> saveTo;
@@ -122,19 +127,22 @@
     bool operator==(const part_plan&) const = default;
 };
 
-/// Learns how much longer than predicted callers wait for their first event when their prompt's parts come
-/// from a store. Load it answers: a store whose link turns slow or queues, so that reading again is faster.
+/// Estimates by how much fetching parts from a store delays the first event beyond its prediction. Detects
+/// stores whose link is slow or congested, so that recomputing the prompt is faster than fetching it.
 class store_delays {
 public:
-    /// Takes a first event.
-    /// @param stores those that the prompt named for fetches; none for a prompt that was read.
-    /// @param excessMs time beyond the prediction, not below 0.
+    /// Records the delay of one request's first event.
+    /// @param stores the stores from which the prompt's parts were fetched; empty for a prompt without
+    /// fetches.
+    /// @param excessMs milliseconds beyond the prediction; negative values count as 0.
     void record(const std::vector<std::string>& stores, double excessMs, instant now);
 
-    /// @return the milliseconds that fetches from a store take beyond what other prompts wait.
+    /// @return the milliseconds by which fetches from a store exceed the delay of requests without fetches,
+    /// at least 0.
     double delayMs(const std::string& store, instant now) const;
 
 private:
+    /// Exponentially weighted moving average that decays to 0 with a fixed half-life.
     struct decaying_average {
         double ms = 0;
         instant at {};
@@ -142,25 +150,28 @@
     static double decayedMs(const decaying_average& delay, instant now);
     static void addSample(decaying_average& delay, double sample, instant now);
 
-    decaying_average m_baseline;
+    decaying_average m_baseline; // requests without fetches
     std::map<std::string, decaying_average> m_stores;
 };
 
-/// Plans the fetches and saves of prompts on one entry. Load it answers: conversations that return to a
-/// target that does not hold them, whose memory comes from a store in a tenth of the time that reading them
-/// again takes, or from another engine in a fiftieth.
+/// Plans the fetches and saves of prompts on one entry. Serves conversations that return to a target
+/// without their KV parts: fetching them from a store takes a tenth of the time of recomputing them, from
+/// another engine a fiftieth.
 class part_planner {
 public:
-    /// Takes the stores of a deployment.
+    /// Replaces the known stores by those of a deployment.
     void setStores(const std::vector<service_limits>& services);
 
-    /// @param readTokensPerMs how fast a target reads a prompt that is not fetched.
-    /// @param target the engine that will run the prompt.
+    /// @param cacheNamespace only parts under this namespace are fetched or saved.
+    /// @param target the engine that runs the prompt.
+    /// @param readTokensPerMs prefill speed of a target in tokens per millisecond.
+    /// @return the plan; it may be empty. Saves that it contains count as requested.
     part_plan plan(const std::vector<prompt_part>& parts, const std::string& cacheNamespace,
         const part_source& target, const part_directory& directory, const engine_finder& engines,
         double readTokensPerMs, instant now);
 
-    /// @return the failure domain of a store from which the conversation's part comes faster than it is read.
+    /// @return the failure domain of a store from which fetching the conversation's last shared part is
+    /// faster than prefill, or nothing.
     std::optional<std::string> storedIn(const std::vector<prompt_part>& parts,
         const std::string& cacheNamespace, const part_directory& directory, double readTokensPerMs,
         instant now) const;
@@ -171,17 +182,19 @@
     bool isWorthFetching(
         const std::string& source, std::uint64_t tokens, double readTokensPerMs, instant now) const;
     const part_store* storeAt(const std::string& address) const;
+    /// @return the store holding the part with the lowest transfer cost to a failure domain, or null.
     const part_store* storeOf(std::uint64_t part, const std::string& failureDomain,
         const part_directory& directory, instant now) const;
     std::optional<part_source> sourceOf(std::uint64_t part, const part_source& target,
         const part_directory& directory, const engine_finder& engines, instant now) const;
+    /// @return the store to which a part is saved, or null when none is ready and has space left.
     const part_store* preferredStore(std::uint64_t part, std::uint64_t tokens,
         const std::string& failureDomain, const part_directory& directory, instant now) const;
     bool mayRequestSave(std::uint64_t part, instant now);
 
     std::vector<part_store> m_stores;
     store_delays m_delays;
-    std::unordered_map<std::uint64_t, instant> m_saveRequests; // saves that were asked for lately
+    std::unordered_map<std::uint64_t, instant> m_saveRequests; // time of the last save request by part
     instant m_nextCleanup {};
 };
 
--- a/packages/core/include/plumfold/core/plumfold_prompt_parts.hpp
+++ b/packages/core/include/plumfold/core/plumfold_prompt_parts.hpp
@@ -7,19 +7,19 @@
 
 namespace plumfold::core {
 
-/// A piece of a prompt that requests may share.
+/// A section of a prompt whose KV data requests may share.
 struct prompt_part {
     std::string id;
     std::uint64_t tokens = 0;
     auto operator<=>(const prompt_part&) const = default;
 };
 
-/// Names the conversation that a prompt returns to. The last part is the request's own; those before it are
-/// shared by all requests of the conversation.
-/// @return a number that is the same for all its requests, or 0 when the prompt has no parts.
+/// Identifies the conversation of a prompt by the last part that its requests share. The last part of a
+/// prompt is specific to the request; those before it are shared by all requests of the conversation.
+/// @return a number that is the same for all requests of the conversation, or 0 when the prompt has no parts.
 std::uint64_t conversationOf(const std::vector<prompt_part>& parts);
 
-/// @return the tokens of a prompt that other requests may share: all parts but the last.
+/// @return the number of tokens in the parts that other requests may share: all but the last.
 std::uint64_t sharedTokensOf(const std::vector<prompt_part>& parts);
 
 /// A store or engine from which KV parts can be fetched.
--- a/packages/core/src/plumfold_part_directory.cpp
+++ b/packages/core/src/plumfold_part_directory.cpp
@@ -9,30 +9,31 @@
 
 namespace {
 
-/// Changes of a holder that readers may lag behind before they are told all its parts again.
+/// Changes kept per holder. A reader that lags further behind gets all parts of the holder.
 constexpr std::size_t maxLatestChanges = 2'000;
-/// A save that was asked for is not asked for again so soon: its event comes late.
+/// Time before a save of the same part is requested again: the event that reports it arrives late.
 constexpr milliseconds saveRetryDelay { 3'000 };
-/// A store that has just started anew gets no saves until every entry knows that its former parts are gone;
-/// otherwise one could fetch a part that is being written.
+/// A restarted store gets no saves until every entry knows that its previous parts are gone; otherwise an
+/// entry could fetch a part that is still being written.
 constexpr milliseconds saveDelayAfterReset { 4'500 };
-/// Part of a store's memory that saves may fill.
+/// Share of a store's capacity that saves may fill.
 constexpr double maxFillRatio = 0.96;
-/// Preference of a store in the target's own failure domain, where a transfer takes half the time.
+/// Weight in rendezvous hashing of a store in the target's failure domain, where a transfer takes half the
+/// time.
 constexpr double localDomainWeight = 4;
-/// The learned delay of a store halves in this time, so that it is tried again.
+/// Half-life of a store's delay estimate. The decay lets a slow store be tried again.
 constexpr double delayHalfLifeMs = 1'500;
 constexpr double slowSampleWeight = 0.2;
 constexpr double quickSampleWeight = 0.5;
 constexpr double maxDelaySampleMs = 2'000;
-/// A fetch may delay its own caller by this much, since reading takes the target's time from all its
-/// requests.
+/// By how much a fetch may take longer for its caller than prefill, which would delay all other requests of
+/// the target.
 constexpr double acceptedDelayMs = 250;
-/// A transfer between failure domains takes so many times as long.
+/// Duration of a transfer between failure domains relative to one within a domain.
 constexpr double remoteTransferFactor = 2;
 constexpr double hashRange = 18446744073709551616.0; // 2^64
 
-/// @return a number that grows with the time that a transfer takes.
+/// @return a cost proportional to the duration of a transfer, for comparison only.
 double transferCost(bool sameDomain, double linkMegabitsPerSecond)
 {
     return (sameDomain ? 1.0 : remoteTransferFactor) / linkMegabitsPerSecond;
@@ -210,7 +211,7 @@
 void store_delays::addSample(decaying_average& delay, double sample, instant now)
 {
     double known = decayedMs(delay, now);
-    // A slow store delays every fetch, a loaded target only some: quick answers count for more.
+    // A slow store delays every fetch, a loaded target only some, so samples below the average weigh more.
     double weight = sample < known ? quickSampleWeight : slowSampleWeight;
     delay.ms = known * (1 - weight) + sample * weight;
     delay.at = now;
@@ -300,7 +301,7 @@
 std::optional<part_source> part_planner::sourceOf(std::uint64_t part, const part_source& target,
     const part_directory& directory, const engine_finder& engines, instant now) const
 {
-    // What an engine is thought to hold may be gone by now, which costs reading the part; a store is surer.
+    // Prefer stores: an engine may have evicted the part already, and then the target has to recompute it.
     if (const auto* store = storeOf(part, target.failureDomain, directory, now))
         return part_source { store->address, store->failureDomain, store->linkMegabitsPerSecond };
     std::optional<part_source> best;
@@ -331,7 +332,7 @@
             = static_cast<std::uint64_t>(static_cast<double>(store.capacityTokens) * maxFillRatio);
         if (!ready || known->usedTokens + tokens > usableTokens)
             continue;
-        // Weighted rendezvous: every entry comes to the same store without a message.
+        // Weighted rendezvous hashing: all entries choose the same store without coordination.
         double draw = (static_cast<double>(hashBytes(store.address, part)) + 1) / hashRange;
         double weight = static_cast<double>(store.capacityTokens)
             * (store.failureDomain == failureDomain ? localDomainWeight : 1.0);
@@ -366,7 +367,7 @@
     part_plan out;
     out.fetchFrom.resize(parts.size());
     out.saveTo.resize(parts.size());
-    // The last part is the request's own and does not return.
+    // The last part is specific to the request and not reused.
     for (std::size_t index = 0; index + 1 < parts.size(); ++index) {
         auto part = hashOf({ cacheNamespace, parts[index].id });
         auto source = sourceOf(part, target, directory, engines, now);
--- a/tests/core/plumfold_part_directory_tests.cpp
+++ b/tests/core/plumfold_part_directory_tests.cpp
@@ -14,7 +14,7 @@
     return { hashOf({ "w1", id }), tokens };
 }
 
-/// Brings a reader up to date, as control does for entries.
+/// Sends the update after a reader's cursor to it, as control does for entries.
 void relay(const part_directory& from, part_directory& to, instant now)
 {
     part_cursor cursor { store, 0, 0 };
@@ -43,7 +43,7 @@
 } // namespace
 
 TEST_CASE(
-    "What a reader knew of a store counts again when it is confirmed after a silence", "[part_directory]")
+    "A store's content becomes valid again when it is confirmed after an interruption", "[part_directory]")
 {
     part_directory control;
     part_directory entry;
@@ -53,7 +53,7 @@
     REQUIRE(entry.find(store, start));
     auto later = start + milliseconds(5'000);
     CHECK_FALSE(entry.find(store, later));
-    relay(control, entry, later); // control itself heard nothing of the store
+    relay(control, entry, later); // control's own content is unconfirmed
     CHECK_FALSE(entry.find(store, later));
     control.confirm(store, later);
     control.apply(store, part("b"));
@@ -62,7 +62,7 @@
     CHECK(entry.find(store, later)->tokens.size() == 2);
 }
 
-TEST_CASE("A store that starts anew is empty for every reader", "[part_directory]")
+TEST_CASE("A restarted store is empty for every reader", "[part_directory]")
 {
     part_directory control;
     part_directory entry;
@@ -75,8 +75,7 @@
     CHECK(entry.find(store, start)->tokens.empty());
 }
 
-TEST_CASE(
-    "Shared parts are saved once, later fetched, and the request's own part is neither", "[part_planner]")
+TEST_CASE("Shared parts are saved once and then fetched; the request's own part is neither", "[part_planner]")
 {
     part_directory directory;
     part_planner planner;
@@ -91,12 +90,11 @@
     directory.apply(store, part("session", 2000));
     auto next = planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, later);
     CHECK(next.fetchFrom == std::vector<std::string> { "", store, "" });
-    // Other weights find nothing.
+    // Parts of another weight version are not found.
     CHECK_FALSE(planner.plan(prompt, "w2", target, directory, noEngines, prefillRate, later).fetches());
 }
 
-TEST_CASE(
-    "A store that has just started gets no saves until all readers know that it is empty", "[part_planner]")
+TEST_CASE("A restarted store gets no saves until all readers know that it is empty", "[part_planner]")
 {
     part_directory directory;
     part_planner planner;
@@ -107,7 +105,7 @@
             .saves());
 }
 
-TEST_CASE("A store that is slower than reading again is left alone until it has recovered", "[part_planner]")
+TEST_CASE("A store that is slower than recomputing gets no fetches until it has recovered", "[part_planner]")
 {
     part_directory directory;
     part_planner planner;
@@ -122,7 +120,7 @@
     CHECK(planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, later).fetches());
 }
 
-TEST_CASE("A part that its holder lost is not found by any reader", "[part_directory]")
+TEST_CASE("A part that its holder removed is not found by any reader", "[part_directory]")
 {
     part_directory control;
     part_directory entry;
@@ -138,7 +136,7 @@
     CHECK(entry.find(store, start)->usedTokens == 100);
 }
 
-TEST_CASE("A reader that lags behind the kept changes is told all parts again", "[part_directory]")
+TEST_CASE("A reader that lags behind the kept changes receives all parts", "[part_directory]")
 {
     part_directory control;
     part_directory entry;
@@ -158,8 +156,7 @@
     CHECK(entry.cursors() == control.cursors());
 }
 
-TEST_CASE(
-    "News that a reader knows already change nothing, and older ones take nothing back", "[part_directory]")
+TEST_CASE("Updates applied twice change nothing, and stale updates revert nothing", "[part_directory]")
 {
     part_directory lagging;
     part_directory entry;
@@ -173,8 +170,7 @@
     CHECK(entry.holdersOf(part("a").part, start).empty());
 }
 
-TEST_CASE(
-    "A part that only another engine holds is fetched from there while that engine answers", "[part_planner]")
+TEST_CASE("A part that only another engine holds is fetched from it while it is reachable", "[part_planner]")
 {
     const std::string other = "10.0.1.2:80";
     part_directory directory;
@@ -188,14 +184,14 @@
     auto planned = planner.plan(prompt, "w1", target, directory, findEngine, prefillRate, start);
     CHECK(planned.fetchFrom == std::vector<std::string> { "", other, "" });
     CHECK_FALSE(planner.plan(prompt, "w1", target, directory, noEngines, prefillRate, start).fetches());
-    // What the target holds itself needs no source.
+    // A part that the target itself holds is not fetched.
     directory.reset(target.address, 8, start);
     directory.apply(target.address, part("session", 2000));
     directory.expire(start + milliseconds(10), milliseconds(5));
     CHECK_FALSE(planner.plan(prompt, "w1", target, directory, findEngine, prefillRate, start).fetches());
 }
 
-TEST_CASE("A store is a surer source than an engine that may have lost the part by now", "[part_planner]")
+TEST_CASE("A store is preferred as a source to an engine, which may have evicted the part", "[part_planner]")
 {
     const std::string other = "10.0.1.2:80";
     part_directory directory;
