--- a/packages/core/include/plumfold/core/plumfold_hash.hpp
+++ b/packages/core/include/plumfold/core/plumfold_hash.hpp
@@ -5,8 +5,8 @@
 
 namespace plumfold::core {
 
-/// XXH3 over bytes.
-/// @param seed a different seed gives an independent hash.
+/// Hashes bytes with XXH3 (64 bits).
+/// @param seed different seeds give independent hashes; pass a previous hash to chain.
 std::uint64_t hashBytes(std::string_view bytes, std::uint64_t seed = 0);
 
 } // namespace plumfold::core
--- a/packages/core/include/plumfold/core/plumfold_prefix_index.hpp
+++ b/packages/core/include/plumfold/core/plumfold_prefix_index.hpp
@@ -12,22 +12,24 @@
 
 namespace plumfold::core {
 
-/// Which targets probably hold which prompt blocks in their own cache. Hints only: a wrong hint costs time,
-/// never correctness. Memory is bounded: the oldest half is dropped when the index is full.
+/// Tracks which targets probably hold which prompt blocks in their KV cache. Entries are hints: a wrong one
+/// costs time, never correctness. Memory is bounded: the older half is dropped when the index is full.
 class prefix_index {
 public:
+    /// @param maxBlocks upper limit of the blocks indexed.
     explicit prefix_index(std::size_t maxBlocks);
 
-    /// Notes that a target ran a prompt and so holds its blocks.
+    /// Records that a target ran a prompt and therefore holds its blocks.
     void add(const std::string& target, const prompt_chain& chain);
 
-    /// Applies a target's own events. After a gap everything known of the target is dropped.
+    /// Applies a target's cache events. After a gap in their sequence all entries of the target are dropped.
     void apply(const cache_events& events);
 
+    /// Drops all entries of a target.
     void remove(const std::string& target);
 
-    /// @return per target, how many blocks at the start of the chain it probably holds. Targets with none are
-    /// left out.
+    /// @return for each target, how many blocks at the start of the chain it probably holds. Targets without
+    /// any are omitted.
     std::map<std::string, std::uint32_t> match(const prompt_chain& chain) const;
 
     std::size_t size() const { return m_current.size() + m_previous.size(); }
@@ -53,7 +55,7 @@
     std::size_t m_maxBlocks;
     block_map m_current; // recently used
     block_map m_previous; // dropped as a whole when m_current is full
-    std::vector<std::string> m_names { "" }; // by target number; a forgotten target leaves an empty name
+    std::vector<std::string> m_names { "" }; // by target number; empty for removed targets
     std::unordered_map<std::string, target_number> m_numbers;
     std::map<std::string, stream_position> m_positions;
 };
--- a/packages/core/src/plumfold_block_store.cpp
+++ b/packages/core/src/plumfold_block_store.cpp
@@ -61,7 +61,7 @@
         auto found = m_owners[number].byHash.find(chain[index]);
         if (found == m_owners[number].byHash.end())
             break;
-        // A parent that another writer still fills may vanish with that writer.
+        // A parent that is not sealed is freed when its writer's lease ends.
         if (m_blocks.at(found->second).state != block_state::sealed)
             return result;
         parent = found->second;
@@ -72,13 +72,13 @@
     writer.writes = true;
     writer.until = now + leaseTime;
     result.firstBlock = writer.firstBlock;
-    // The present parent must survive the eviction that makes room.
+    // Lease the last existing block so that makeRoom() does not evict it.
     if (parent != 0) {
         removeFromEvictable(parent);
         m_blocks.at(parent).leases += 1;
     }
     for (; index < chain.size(); ++index) {
-        // A colliding hash must not hide the block that is there.
+        // On a hash collision the existing block must stay reachable.
         bool collides = m_owners[number].byHash.contains(chain[index]);
         if (collides || !makeRoom(blockBytes, owner.customer))
             break;
@@ -119,7 +119,7 @@
         return;
     ticket ended = std::move(found->second);
     m_tickets.erase(found);
-    // From the last to the first, so that children are freed before their parents.
+    // In reverse order, so that children are freed before their parents.
     for (auto it = ended.blocks.rbegin(); it != ended.blocks.rend(); ++it)
         dropLease(*it, ended.writes);
 }
@@ -150,7 +150,7 @@
     addIfEvictable(number);
 }
 
-// ---------------------------------------------------------------- bytes
+// ---------------------------------------------------------------- reading and writing
 
 absl::Status block_store::write(
     ticket_number number, std::uint32_t index, std::string_view bytes, instant now)
@@ -193,10 +193,11 @@
     return source.bytes;
 }
 
-// ---------------------------------------------------------------- room
+// ---------------------------------------------------------------- eviction
 
-// Greedy-dual-size-frequency: a block is worth its hits times the cost of recomputing it per byte, and ages
-// as others are evicted. Later blocks cost more to recompute because they attend to all before them.
+// Greedy-Dual-Size-Frequency eviction: the score is the hits times the recompute cost per byte, plus an aging
+// term that grows with evictions. Later blocks cost more to recompute because they attend to all blocks
+// before them.
 void block_store::updateScore(block_number number)
 {
     block& each = m_blocks.at(number);
@@ -281,7 +282,7 @@
         removeFromEvictable(number);
         m_blocks.at(number).state = block_state::freeing;
     }
-    // Freeing a leaf frees its parents in turn; what is leased stays until its lease ends.
+    // Freeing a leaf also frees its purged parents; leased blocks stay until their leases end.
     for (block_number number : purged) {
         auto found = m_blocks.find(number);
         if (found != m_blocks.end() && found->second.leases == 0 && found->second.children == 0)
--- a/packages/core/src/plumfold_prefix_index.cpp
+++ b/packages/core/src/plumfold_prefix_index.cpp
@@ -15,7 +15,7 @@
     if (found != m_numbers.end())
         return found->second;
     auto number = static_cast<target_number>(m_names.size());
-    if (m_names.size() > UINT16_MAX) { // after very many restarts under new names
+    if (m_names.size() > UINT16_MAX) { // numbers of removed targets are not reused: start over when exhausted
         m_current.clear();
         m_previous.clear();
         m_numbers.clear();
--- a/tests/core/plumfold_block_store_tests.cpp
+++ b/tests/core/plumfold_block_store_tests.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("Blocks that are only partly written are never leased", "[store]")
+TEST_CASE("Blocks that are not sealed are never leased", "[store]")
 {
     auto store = storeOf(8);
     instant now {};
@@ -49,11 +49,11 @@
     CHECK(store.lease(owner(), chain, leaseTime, now).blocks == 0);
     REQUIRE(store.write(writer.ticket, 0, bytesOf(1, owner()), now).ok());
     CHECK(store.lease(owner(), chain, leaseTime, now).blocks == 1);
-    SECTION("a block of the wrong size is refused")
+    SECTION("a block of the wrong size is rejected")
     {
         CHECK_FALSE(store.write(writer.ticket, 1, "short", now).ok());
     }
-    SECTION("a writer that dies leaves nothing behind that is not sealed")
+    SECTION("unsealed blocks are freed when the writer's lease expires")
     {
         store.expire(now + leaseTime);
         CHECK(store.blocks() == 1);
@@ -63,7 +63,7 @@
     }
 }
 
-TEST_CASE("Customers and weight versions never see each other's blocks", "[store][isolation]")
+TEST_CASE("Blocks are not shared between customers or weight versions", "[store][isolation]")
 {
     auto store = storeOf(8);
     instant now {};
@@ -74,13 +74,13 @@
     CHECK(store.lease(owner("espuma", "v1"), chain, leaseTime, now).blocks == 2);
 }
 
-TEST_CASE("A reader keeps its blocks until its lease ends and not longer", "[store]")
+TEST_CASE("Leased blocks stay readable until the lease ends and no longer", "[store]")
 {
     auto store = storeOf(2);
     instant now {};
     fill(store, owner(), { 1, 2 }, now);
     auto reader = store.lease(owner(), { 1, 2 }, leaseTime, now);
-    fill(store, owner(), { 8, 9 }, now); // no room: all blocks are leased
+    fill(store, owner(), { 8, 9 }, now); // allocates nothing: all blocks are leased
     CHECK(store.read(reader.ticket, 0, now).value() == bytesOf(1, owner()));
     store.purge("espuma");
     CHECK(store.read(reader.ticket, 1, now).value() == bytesOf(2, owner()));
@@ -91,7 +91,7 @@
     CHECK(store.usedBytes() == 0);
 }
 
-TEST_CASE("A full store evicts leaves before the prefixes that others share", "[store]")
+TEST_CASE("A full store evicts leaf blocks before shared prefixes", "[store]")
 {
     auto store = storeOf(4);
     instant now {};
@@ -103,7 +103,7 @@
     CHECK(store.usedBytes() <= store.capacityBytes());
 }
 
-TEST_CASE("Any interleaving reads only whole blocks of the right owner", "[store][property]")
+TEST_CASE("Under any interleaving, reads return only complete blocks of the right owner", "[store][property]")
 {
     rc::prop("write, read, expire, purge in any order", [] {
         auto store = storeOf(*rc::gen::inRange<std::uint64_t>(2, 10));
--- a/tests/core/plumfold_prefix_index_tests.cpp
+++ b/tests/core/plumfold_prefix_index_tests.cpp
@@ -5,7 +5,7 @@
 
 using namespace plumfold::core;
 
-TEST_CASE("The longest prefix that each target holds is found", "[prefix]")
+TEST_CASE("The longest prefix held by each target is found", "[prefix]")
 {
     prefix_index index(1000);
     index.add("a", { 1, 2, 3 });
@@ -17,7 +17,7 @@
     CHECK_FALSE(index.match({ 1, 2, 3 }).contains("a"));
 }
 
-TEST_CASE("Cache events that left a gap drop everything known of the target", "[prefix][events]")
+TEST_CASE("A gap in a target's cache events drops all of its entries", "[prefix][events]")
 {
     prefix_index index(1000);
     index.apply({ "a", 1, 0, false, { 1, 2 }, {} });
@@ -30,19 +30,19 @@
         CHECK(index.match({ 1, 2, 3 }).empty());
         CHECK(index.match({ 7 }).at("a") == 1);
     }
-    SECTION("events that came late are ignored")
+    SECTION("stale events are ignored")
     {
         index.apply({ "a", 1, 0, false, { 50 }, {} });
         CHECK(index.match({ 50 }).empty());
     }
-    SECTION("another process begins with nothing")
+    SECTION("a new incarnation starts without entries")
     {
         index.apply({ "a", 2, 0, false, { 9 }, {} });
         CHECK(index.match({ 1 }).empty());
     }
 }
 
-TEST_CASE("The index keeps within its bound and remembers what was used last", "[prefix]")
+TEST_CASE("The index stays within its size limit and keeps the most recent blocks", "[prefix]")
 {
     prefix_index index(100);
     for (std::uint64_t block = 0; block < 10'000; ++block)
@@ -51,7 +51,7 @@
     CHECK(index.match({ 9'999 }).at("a") == 1);
 }
 
-TEST_CASE("Chains of different customers and versions share no hash", "[prefix][isolation]")
+TEST_CASE("Chains of different customers or weight versions share no hash", "[prefix][isolation]")
 {
     std::string prompt(4096, 'x');
     auto a = chainOf({ "espuma", "base", "", "v1" }, prompt);
@@ -66,7 +66,7 @@
     CHECK(std::equal(a.begin(), a.end(), longer.begin()));
 }
 
-TEST_CASE("Tokens of several attempts are delivered once and in order", "[stream]")
+TEST_CASE("Tokens from several attempts are delivered once and in order", "[stream]")
 {
     stream_assembly stream;
     CHECK(stream.accept(0) == token_verdict::deliver);
