--- a/packages/core/include/plumfold/core/plumfold_deployment.hpp
+++ b/packages/core/include/plumfold/core/plumfold_deployment.hpp
@@ -14,43 +14,43 @@
 
 namespace plumfold::core {
 
-/// What may be repeated of a request on a route.
+/// Whether requests of a route may be retried.
 enum class request_kind : std::uint8_t {
     idempotent, ///< May run more than once.
-    once, ///< May run at most once for each attempt of a caller.
-    stream, ///< Answers with numbered events; may run once unless its route is resumable.
+    once, ///< May run at most once per attempt of the caller.
+    stream, ///< Answered with numbered events; runs at most once unless its route is resumable.
 };
 
-/// One service that a route leads to.
+/// A service to which a route forwards a share of its requests.
 struct route_share {
     std::string service;
     std::uint32_t weight = 1; ///< Share of the route's requests, relative to the other services.
     auto operator<=>(const route_share&) const = default;
 };
 
-/// Where requests of one host and path prefix go, and how they are treated.
+/// Forwarding rules for the requests of one host and path prefix.
 struct route {
     std::string name;
     std::string host;
     std::string pathPrefix; ///< Begins and ends with a slash.
     request_kind kind = request_kind::once;
-    milliseconds timeout { 0 }; ///< Longest time that a caller is kept waiting.
-    milliseconds latencyTarget { 0 }; ///< Time to the answer, or for streams to the first event.
-    milliseconds maxPause { 0 }; ///< Streams: the longest pause between events that is still on time.
+    milliseconds timeout { 0 }; ///< Longest time that a caller waits.
+    milliseconds latencyTarget { 0 }; ///< For the answer, or for the first event of a stream.
+    milliseconds maxPause { 0 }; ///< Streams: target for the longest pause between two events.
     std::uint32_t priority = 0; ///< 0 is the highest.
-    std::uint32_t maxAttempts = 1; ///< Targets to which one attempt of a caller may be sent.
-    bool isPublic = false; ///< Whether requests need no key.
-    bool hasSessions = false; ///< Whether requests carry prompts that share parts.
+    std::uint32_t maxAttempts = 1; ///< Targets tried at most per attempt of the caller.
+    bool isPublic = false; ///< Whether requests are accepted without an API key.
+    bool hasSessions = false; ///< Whether requests carry prompts with shared parts.
     bool isResumable = false; ///< Whether a stream may be continued by another target.
     std::vector<route_share> shares;
     auto operator<=>(const route&) const = default;
 };
 
-/// The memory and batch of a service's model engines.
+/// Capacity of each of a service's model engines.
 struct engine_limits {
-    std::uint32_t slots = 1; ///< Requests in one batch.
-    std::uint64_t memoryTokens = 0;
-    std::uint64_t bytesPerToken = 0;
+    std::uint32_t slots = 1; ///< Maximum number of requests in a batch.
+    std::uint64_t memoryTokens = 0; ///< KV memory in tokens.
+    std::uint64_t bytesPerToken = 0; ///< KV data per token.
     double linkMegabitsPerSecond = 0;
     auto operator<=>(const engine_limits&) const = default;
 };
@@ -64,19 +64,19 @@
     auto operator<=>(const part_store&) const = default;
 };
 
-/// What holds for all targets of a service.
+/// Limits that apply to every target of a service.
 struct service_limits {
     std::string name;
-    std::uint32_t connectionLimit = 0; ///< Connections that a target accepts from all callers; 0: not told.
+    std::uint32_t connectionLimit = 0; ///< Connections that a target accepts in total; 0: unknown.
     double coldRequestsPerSecond
-        = 0; ///< What a cold target bears; 0: targets of this service are never cold.
+        = 0; ///< Rate limit of a cold target; 0: targets of this service are never cold.
     milliseconds coldTime { 0 }; ///< How long a target is cold after its start.
     std::optional<engine_limits> engine;
     std::optional<part_store> store;
     auto operator<=>(const service_limits&) const = default;
 };
 
-/// What callers may send, and how long they may take.
+/// Size and time limits for the requests of callers.
 struct caller_limits {
     std::uint64_t maxHeaderBytes = 16 << 10;
     std::uint64_t maxBodyBytes = 4 << 20;
@@ -85,23 +85,23 @@
     auto operator<=>(const caller_limits&) const = default;
 };
 
-/// A customer whose requests are forwarded.
+/// A customer with its API keys and forwarding options.
 struct customer_access {
     std::string name;
     std::vector<std::string> keys;
-    std::optional<std::uint32_t> priority; ///< Takes precedence over the route's.
+    std::optional<std::uint32_t> priority; ///< Takes precedence over the priority of the route.
     bool isIsolated = false; ///< Shares no KV parts with other customers.
     auto operator<=>(const customer_access&) const = default;
 };
 
-/// The routes, services, limits and customers that operators put in force together. Immutable.
+/// The routes, services, limits and customers that operators deploy together. Immutable.
 class deployment {
 public:
     deployment() = default;
     deployment(std::uint64_t version, std::vector<route> routes, std::vector<service_limits> services,
         caller_limits limits, std::vector<customer_access> customers);
 
-    /// @return OK, or invalid_argument that names the first fault and its remedy.
+    /// @return OK, or invalid_argument that names the first error and how to correct it.
     absl::Status check() const;
 
     std::uint64_t version() const { return m_version; }
@@ -109,7 +109,7 @@
     const std::vector<route>& routes() const { return m_routes; }
     const std::vector<service_limits>& services() const { return m_services; }
 
-    /// @return the route of the host whose prefix is the longest that begins the path, or null.
+    /// @return the route of the host with the longest matching path prefix, or null. A query is ignored.
     const route* findRoute(std::string_view host, std::string_view path) const;
 
     /// @return the customer that holds the key, or null.
@@ -129,19 +129,19 @@
     std::map<std::string, std::size_t, std::less<>> m_servicesByName;
 };
 
-/// The least urgent rank that a request can have.
+/// Highest urgency value of a request, which is the least urgent.
 inline constexpr std::uint32_t leastUrgent = 9;
 
-/// Ranks a request among those that compete for a target. The customer's priority goes first; the route's
-/// decides between requests of customers with the same one. Load it answers: customers that all have one
-/// priority, whose urgent small requests would wait behind large ones.
+/// Combines the priorities of customer and route into one urgency. The customer's priority decides first; the
+/// route's decides between customers of equal priority. Without the route's priority, small urgent
+/// requests would queue behind large ones when all customers have the same priority.
 /// @param customer null for public routes.
-/// @return 0 (first) to leastUrgent.
+/// @return the urgency, 0 (most urgent) to leastUrgent.
 std::uint32_t urgencyOf(const route& requestRoute, const customer_access* customer);
 
-/// Chooses one of a route's services for a request, in proportion to the weights.
-/// @param draw a number that is evenly distributed over its range, for instance a hash of the request's id.
-/// @return the service, or null when the route has none.
+/// Chooses one of a route's services for a request, in proportion to their weights.
+/// @param draw a uniformly distributed number, such as a hash of the request's id.
+/// @return the name of the service, or null when the weights add up to 0.
 const std::string* chooseService(const route& requestRoute, std::uint64_t draw);
 
 } // namespace plumfold::core
--- a/packages/core/include/plumfold/core/plumfold_deployment_state.hpp
+++ b/packages/core/include/plumfold/core/plumfold_deployment_state.hpp
@@ -8,35 +8,35 @@
 
 namespace plumfold::core {
 
-/// A deployment as its operators wrote it. Control replicates the text; who uses it decodes it.
+/// The text of a deployment as written by operators. Control VMs replicate it undecoded.
 struct deployment_document {
-    std::uint64_t version = 0; ///< 0: none was accepted yet.
+    std::uint64_t version = 0; ///< 0: no document was accepted yet.
     std::string text;
     auto operator<=>(const deployment_document&) const = default;
 };
 
-/// What operators put in force for the forwarding of requests.
+/// Operator settings for the forwarding of requests.
 struct deployment_state {
-    std::uint64_t revision = 0; ///< Grows with every change below.
+    std::uint64_t revision = 0; ///< Incremented with every change of the members below.
     deployment_document document;
-    std::set<std::string> outOfService; ///< Failure domains that get no new work.
-    std::map<std::string, std::uint64_t> weights; ///< The named weight version of each model.
+    std::set<std::string> outOfService; ///< Failure domains that get no new requests.
+    std::map<std::string, std::uint64_t> weights; ///< Current weight version of each model.
     bool operator==(const deployment_state&) const = default;
 
-    /// Puts a document in force unless one with the same or a higher version is.
-    /// @return whether it is in force now.
+    /// Replaces the document if the next one has a higher version.
+    /// @return whether the document was replaced.
     bool adopt(const deployment_document& next);
 
-    /// Takes a failure domain out of service or back into it.
-    /// @return whether that changed anything.
+    /// Takes a failure domain out of service or returns it to service.
+    /// @return whether the state changed.
     bool setInService(const std::string& failureDomain, bool inService);
 
-    /// Names a model's weight version unless the same or a higher one is named.
-    /// @return whether it is named now.
+    /// Sets the current weight version of a model if it is higher than the present one.
+    /// @return whether the version was set.
     bool setCurrentWeights(const std::string& model, std::uint64_t version);
 };
 
-/// Commands of the replicated log that change the deployment state. Each may be applied again without harm.
+/// Commands of the replicated log that change the deployment state. All are idempotent.
 struct adopt_document_command {
     deployment_document document;
 };
--- a/packages/core/include/plumfold/core/plumfold_time.hpp
+++ b/packages/core/include/plumfold/core/plumfold_time.hpp
@@ -5,12 +5,12 @@
 
 namespace plumfold::core {
 
-/// Monotonic time. The core never reads a clock: callers pass the time in.
+/// Monotonic time. The core library never reads a clock; callers pass the current time.
 using instant = std::chrono::steady_clock::time_point;
 using milliseconds = std::chrono::milliseconds;
 using microseconds = std::chrono::microseconds;
 
-/// Wall-clock time in Unix milliseconds, used where a time outlives a process.
+/// Wall-clock time in Unix milliseconds, for times that outlive a process.
 using unix_milliseconds = std::uint64_t;
 
 } // namespace plumfold::core
--- a/packages/core/src/plumfold_deployment.cpp
+++ b/packages/core/src/plumfold_deployment.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Ranks that the route gives among requests of customers with one priority.
+/// Urgency values per customer priority, distinguished by the priority of the route.
 constexpr std::uint32_t routeRanks = 3;
 
 absl::Status checkRoute(const route& checked, const deployment& whole)
@@ -81,7 +81,8 @@
     if (prefixes == m_routesByHost.end())
         return nullptr;
     path = path.substr(0, path.find('?'));
-    // Prefixes end with a slash, so only those that end at one of the path's slashes can match.
+    // Prefixes end with a slash, so only the path's prefixes up to a slash can match; the longest is tried
+    // first.
     for (auto slash = path.rfind('/'); slash != std::string_view::npos; slash = path.rfind('/', slash - 1)) {
         auto found = prefixes->second.find(path.substr(0, slash + 1));
         if (found != prefixes->second.end())
--- a/tests/core/plumfold_configuration_view_tests.cpp
+++ b/tests/core/plumfold_configuration_view_tests.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("A view never steps back to an older revision", "[configuration]")
+TEST_CASE("A view never reverts to an older revision", "[configuration]")
 {
     configuration config;
     config.apply(record(failure_domain_record { "east", true, 1 }));
@@ -22,12 +22,12 @@
     auto newer = wholeOf(config);
     configuration_view view;
     CHECK(view.apply(newer));
-    CHECK(view.apply(older)); // an old answer that came late is no error, and changes nothing
+    CHECK(view.apply(older)); // a stale update is accepted without effect
     CHECK(view.config().revision() == 2);
     CHECK_FALSE(view.config().failureDomain("east")->inService);
 }
 
-TEST_CASE("An update whose digest does not match is not taken", "[configuration]")
+TEST_CASE("An update with a wrong digest is rejected", "[configuration]")
 {
     configuration config;
     config.apply(record(failure_domain_record { "east", true, 1 }));
@@ -36,7 +36,7 @@
     configuration_view view;
     CHECK_FALSE(view.apply(update));
     CHECK_FALSE(view.isKnown());
-    SECTION("neither are deltas that leave a gap")
+    SECTION("so are deltas that leave a gap")
     {
         configuration_update gap { 3, 0, std::nullopt,
             { { 3, record(failure_domain_record { "west", true, 1 }) } } };
@@ -44,7 +44,7 @@
     }
 }
 
-TEST_CASE("A view is fresh only for a while after a quorum has confirmed it", "[configuration]")
+TEST_CASE("A view is fresh only up to its maximum age after a quorum confirmed it", "[configuration]")
 {
     configuration_view view;
     instant start {};
--- a/tests/core/plumfold_deployment_tests.cpp
+++ b/tests/core/plumfold_deployment_tests.cpp
@@ -29,8 +29,8 @@
     double targetMs = 0;
 };
 
-/// Serves what waits at one target, the more urgent first.
-/// @return how many are served within their latency target.
+/// Runs the requests waiting for one target one after another, the most urgent first.
+/// @return the number of requests completed within their latency target.
 int servedInTime(std::vector<waiting_request> waiting)
 {
     std::stable_sort(waiting.begin(), waiting.end(),
@@ -46,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("A customer's priority goes before any route's", "[deployment]")
+TEST_CASE("The customer's priority takes precedence over that of any route", "[deployment]")
 {
     auto first = customerOf(0);
     auto second = customerOf(1);
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_CASE("Routes rank the requests of customers with one priority", "[deployment]")
+TEST_CASE("The route's priority decides between customers with the same priority", "[deployment]")
 {
     auto customer = customerOf(1);
     CHECK(urgencyOf(routeOf(0), &customer) < urgencyOf(routeOf(1), &customer));
@@ -64,10 +64,11 @@
     CHECK(urgencyOf(routeOf(7), nullptr) == leastUrgent);
 }
 
-TEST_CASE("Small urgent requests are not late behind large ones of customers with the same priority",
+TEST_CASE(
+    "Small urgent requests meet their latency target behind large ones of customers with the same priority",
     "[deployment]")
 {
-    // Large prompts that are less urgent arrived first.
+    // The large, less urgent prompts arrived first.
     auto customer = customerOf(1);
     std::vector<waiting_request> ranked;
     std::vector<waiting_request> unranked;
