--- a/packages/core/include/plumfold/core/plumfold_control_state.hpp
+++ b/packages/core/include/plumfold/core/plumfold_control_state.hpp
@@ -108,7 +108,7 @@
     command_result applyCommand(const lease_command& next, unix_milliseconds at);
     command_result applyCommand(const adopt_document_command& next, unix_milliseconds at);
     command_result applyCommand(const set_in_service_command& next, unix_milliseconds at);
-    command_result applyCommand(const name_weights_command& next, unix_milliseconds at);
+    command_result applyCommand(const set_current_weights_command& next, unix_milliseconds at);
     // Erases claims and verdicts that have expired.
     void expire(unix_milliseconds at);
     void storeResult(const change_command& next, const change_result& result);
--- a/packages/core/src/plumfold_deployment.cpp
+++ b/packages/core/src/plumfold_deployment.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Ranks that the route gives among requests of customers with one priority.
+/// Urgency values per customer priority, distinguished by the priority of the route.
 constexpr std::uint32_t routeRanks = 3;
 
 absl::Status checkRoute(const route& checked, const deployment& whole)
@@ -81,7 +81,8 @@
     if (prefixes == m_routesByHost.end())
         return nullptr;
     path = path.substr(0, path.find('?'));
-    // Prefixes end with a slash, so only those that end at one of the path's slashes can match.
+    // Prefixes end with a slash, so only the path's prefixes up to a slash can match; the longest is tried
+    // first.
     for (auto slash = path.rfind('/'); slash != std::string_view::npos; slash = path.rfind('/', slash - 1)) {
         auto found = prefixes->second.find(path.substr(0, slash + 1));
         if (found != prefixes->second.end())
@@ -104,21 +105,21 @@
     return found == m_servicesByName.end() ? nullptr : &m_services[found->second];
 }
 
-std::uint32_t urgencyOf(const route& on, const customer_access* customer)
+std::uint32_t urgencyOf(const route& requestRoute, const customer_access* customer)
 {
-    auto first = customer ? customer->priority.value_or(on.priority) : on.priority;
-    return std::min(first * routeRanks + std::min(on.priority, routeRanks - 1), leastUrgent);
+    auto priority = customer ? customer->priority.value_or(requestRoute.priority) : requestRoute.priority;
+    return std::min(priority * routeRanks + std::min(requestRoute.priority, routeRanks - 1), leastUrgent);
 }
 
-const std::string* chooseService(const route& on, std::uint64_t draw)
+const std::string* chooseService(const route& requestRoute, std::uint64_t draw)
 {
     std::uint64_t total = 0;
-    for (const auto& share : on.shares)
+    for (const auto& share : requestRoute.shares)
         total += share.weight;
     if (total == 0)
         return nullptr;
     std::uint64_t place = draw % total;
-    for (const auto& share : on.shares) {
+    for (const auto& share : requestRoute.shares) {
         if (place < share.weight)
             return &share.service;
         place -= share.weight;
