--- a/packages/core/include/plumfold/core/plumfold_target_directory.hpp
+++ b/packages/core/include/plumfold/core/plumfold_target_directory.hpp
@@ -11,70 +11,73 @@
 
 namespace plumfold::core {
 
-/// Whether a target takes new work, as far as its announcements tell.
+/// Whether a target accepts new work, according to its announcements.
 enum class target_state : std::uint8_t {
     ready,
-    leaving, ///< It said that it stops soon, or that it has left.
-    silent, ///< Nothing was heard from it for too long.
+    leaving, ///< It announced that it is stopping or has stopped.
+    silent, ///< No announcement came within the timeout, or it did not answer.
 };
 
-/// What a target announced of itself. A later life of the same name has a later start.
+/// A target's announcement of itself. A later incarnation of the same name has a later start.
 struct target_announcement {
-    std::string name; ///< Identity; a restarted target mostly has a new one.
+    std::string name; ///< Identity; a restarted target usually has a new one.
     std::string service;
     std::string address; ///< ip:port
     std::string failureDomain;
     std::uint32_t slots = 1; ///< Requests that run at the same time.
     target_state state = target_state::ready;
-    milliseconds coldFor { 0 }; ///< How much longer it stays cold.
-    unix_milliseconds startedAt = 0;
-    std::uint64_t sequence = 0; ///< Grows with each announcement of one life.
+    milliseconds coldFor { 0 }; ///< Remaining time in cold start.
+    unix_milliseconds startedAt = 0; ///< Identifies the incarnation.
+    std::uint64_t sequence = 0; ///< Increases with each announcement of an incarnation.
     std::vector<loaded_model> models;
     auto operator<=>(const target_announcement&) const = default;
 };
 
-/// All targets that announce themselves, kept by the latest announcement of each.
+/// The latest announcement of each target.
 class target_directory {
 public:
-    /// An announcement with the place that it has among the changes.
+    /// The latest announcement of a target and the number of its latest change.
     struct entry {
         target_announcement last;
         instant lastSeenAt {};
-        std::uint64_t change = 0; ///< The directory's change at which it last differed.
-        bool isDirect = false; ///< Whether the target itself told this control VM last.
+        std::uint64_t change = 0; ///< Number of the directory's change that last altered the announcement.
+        /// The latest state was learned from the target itself, not relayed by a peer.
+        bool isDirect = false;
     };
 
-    /// Takes an announcement, from the target itself or relayed.
-    /// @param isDirect whether it came from the target itself.
-    /// @return whether it is newer than what was known.
+    /// Applies an announcement.
+    /// @param isDirect whether it came from the target itself; otherwise it was relayed.
+    /// @return whether it was applied; false if it is stale.
     bool apply(const target_announcement& next, bool isDirect, instant now);
 
-    /// Takes that a target has left. Its latest announcement stays, as leaving.
-    /// @return whether the target was known and had not left.
+    /// Marks a target as leaving; its latest announcement is kept.
+    /// @return whether the target is known and was not already leaving.
     bool markLeaving(const std::string& name, instant now);
 
-    /// Takes that a target has loaded a weight version.
-    /// @return whether that was news.
+    /// Records that a target has loaded a weight version.
+    /// @return whether the known version changed.
     bool setWeights(const std::string& name, const std::string& model, const std::string& version);
 
-    /// Marks targets silent that were not heard for longer than a bound.
-    /// @return the names of those that became silent.
+    /// Marks ready targets as silent whose latest announcement is older than the timeout.
+    /// @return the names of the targets that became silent.
     std::vector<std::string> detectSilent(instant now, milliseconds timeout);
 
-    /// Takes that a target does not answer.
-    /// @return whether it counted as ready until now.
+    /// Marks a target as silent because it does not answer.
+    /// @return whether the target is known and was ready.
     bool markSilent(const std::string& name);
 
-    /// Starts the silence of all targets anew, after this control VM itself could hear nothing for a while.
+    /// Restarts the announcement timeouts of all targets, after this control VM was unable to receive for
+    /// some time.
     void restartAnnouncementTimeouts(instant now);
 
-    /// Forgets targets that left or fell silent a long time ago.
+    /// Removes leaving and silent targets that were last seen longer ago than maxAge.
     void removeStale(instant now, milliseconds maxAge);
 
     /// @return the number of the latest change.
     std::uint64_t latestChange() const { return m_latestChange; }
 
-    /// @return the entries that changed after a change, those of all targets for 0.
+    /// @param change a number of latestChange(); 0 for all entries.
+    /// @return the entries that changed after it.
     std::vector<entry> changedAfter(std::uint64_t change) const;
 
     const std::map<std::string, entry>& entries() const { return m_entries; }
--- a/packages/core/include/plumfold/core/plumfold_target_report.hpp
+++ b/packages/core/include/plumfold/core/plumfold_target_report.hpp
@@ -15,7 +15,7 @@
     auto operator<=>(const loaded_model&) const = default;
 };
 
-/// What a target says of itself. Reports lag behind the target's state.
+/// State that a target reports of itself. It lags behind the target's actual state.
 struct target_report {
     std::string name;
     std::uint64_t incarnation = 0; ///< Changes when the target's process restarts.
@@ -28,16 +28,16 @@
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
     bool leaving = false;
-    std::uint64_t sequence = 0; ///< Grows with every report of an incarnation.
+    std::uint64_t sequence = 0; ///< Increases with every report of an incarnation.
     auto operator<=>(const target_report&) const = default;
 };
 
-/// Blocks that a target's own prefix cache gained and lost. Events come late and with gaps.
+/// Blocks added to and removed from a target's own prefix cache. Events arrive late and with gaps.
 struct cache_events {
     std::string target;
     std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0; ///< Of the first event.
-    bool complete = false; ///< The list replaces everything known of this target.
+    bool complete = false; ///< The list replaces all known blocks of this target.
     std::vector<std::uint64_t> added;
     std::vector<std::uint64_t> removed;
 };
--- a/packages/core/include/plumfold/core/plumfold_target_selector.hpp
+++ b/packages/core/include/plumfold/core/plumfold_target_selector.hpp
@@ -12,96 +12,98 @@
 
 namespace plumfold::core {
 
-/// What a target reported of its work.
+/// Work in progress that a target reported.
 struct target_load {
     std::string target;
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    std::uint32_t usedTokens = 0; ///< Memory that cannot yield.
-    milliseconds age { 0 }; ///< Since the target announced.
-    bool isBusy = false; ///< It carries out an order and refuses what has not unreportedAttempts.
+    std::uint32_t usedTokens = 0; ///< KV cache in use that cannot be evicted.
+    milliseconds age { 0 }; ///< Since the target sent the report.
+    bool isBusy = false; ///< Executes an order and rejects requests that have not started.
     auto operator<=>(const target_load&) const = default;
 };
 
-/// What a choice of target needs to know of a request.
+/// Properties of a request that the selection of its target depends on.
 struct placement_request {
     std::string service;
-    std::uint64_t session = 0; ///< Requests with the same number share a prompt; 0: none.
+    std::uint64_t session = 0; ///< Requests with the same number share a prompt prefix; 0: none.
     std::string model; ///< Empty for plain services.
     std::uint64_t promptTokens = 0;
-    std::uint64_t sharedTokens = 0; ///< Of the prompt, those that other requests of the conversation share.
-    std::uint64_t outputTokens = 0; ///< As far as expected.
-    std::optional<std::string> storedIn; ///< Failure domain of a store that holds the shared part.
-    std::vector<std::string> holders; ///< Addresses of the targets that hold the shared part.
-    std::set<std::string> excluded; ///< Targets that were tried already.
+    std::uint64_t sharedTokens = 0; ///< Prompt tokens shared with other requests of the conversation.
+    std::uint64_t outputTokens = 0; ///< Expected length of the output.
+    std::optional<std::string> storedIn; ///< Failure domain of a store with the shared part.
+    std::vector<std::string> holders; ///< Addresses of targets that hold the shared part.
+    std::set<std::string> excluded; ///< Targets that were already tried.
     milliseconds timeLeft { 0 }; ///< Until the caller's deadline.
 };
 
-/// A target that was chosen for one attempt.
+/// The target selected for one attempt.
 struct placement {
     std::string target;
     std::string address;
-    std::string weights; ///< The weight version that the target is known to have; empty for plain services.
+    std::string weights; ///< Last known weight version of the target; empty for plain services.
     std::string failureDomain;
-    double predictedMs = 0; ///< Expected time to the first event; 0 for plain services.
-    double waitMs = 0; ///< Of the prediction, what others in front of the request cause.
-    bool isHolder = false; ///< The target is thought to hold the conversation's shared part.
-    bool isTargetUnderLoad = false; ///< Other requests make the time uncertain.
+    double predictedMs = 0; ///< Predicted time to the first event; 0 for plain services.
+    double waitMs = 0; ///< Part of the prediction that is caused by other requests.
+    bool isHolder = false; ///< The target is listed as a holder of the shared part.
+    bool isTargetUnderLoad = false; ///< Other requests make the prediction uncertain.
     bool operator==(const placement&) const = default;
 };
 
-/// Why no target was chosen.
+/// Why no target was selected.
 enum class placement_failure : std::uint8_t {
-    no_target, ///< None is known that takes work.
-    cold, ///< All that take work are cold and have got what they bear.
-    full, ///< All are at their limit of requests.
+    no_target, ///< No usable target is known.
+    cold, ///< No usable target is left but cold ones that have reached their request rate.
+    full, ///< All are at their limit of concurrent requests.
 };
 
-/// The answer to a request for a target.
+/// The result of a target selection.
 struct placement_result {
     std::optional<placement> chosen;
-    placement_failure reason = placement_failure::no_target; ///< Set when nothing was chosen.
-    milliseconds retryAfter { 0 }; ///< When a later try makes sense.
+    placement_failure reason = placement_failure::no_target; ///< Valid if nothing was chosen.
+    milliseconds retryAfter { 0 }; ///< Time after which a retry may succeed.
 };
 
-/// How an attempt on a target ended, for the target's sake.
+/// Result of an attempt, as evidence of the target's health.
 enum class attempt_result : std::uint8_t {
     answered,
-    refused, ///< The target said that it did not run the request.
-    not_reached, ///< No connection came about.
-    lost, ///< The connection broke or an answer was not usable after the request was sent.
-    failed, ///< The target answered with a failure of its own.
-    abandoned, ///< The caller left or time ran out.
+    refused, ///< The target reported that it did not run the request.
+    not_reached, ///< The connection could not be established.
+    lost, ///< After the request was sent, the connection broke or the answer was unusable.
+    failed, ///< The target answered with an error.
+    abandoned, ///< The caller disconnected or the deadline passed.
 };
 
-/// Times that predict how long a model engine takes to the first event.
+/// Parameters of the prediction of a model engine's time to the first event.
 struct engine_latency_model {
-    double prefillTokensPerMs = 48; ///< Prompt tokens that an engine reads, from the users' sheet.
-    double localFetchTokensPerMs = 150; ///< Tokens that come from a store in the same failure domain.
-    double remoteFetchTokensPerMs = 60; ///< Tokens that come from a store in another one.
-    double waitingRequestMs = 150; ///< Each request that waits before this one.
-    double unreportedRequestMs = 60; ///< Each own request that the report does not show yet.
-    double runningRequestMs = 3; ///< Each request in the same batch slows the steps.
-    double preemptionMemoryShare = 0.75; ///< From this share of memory on, running requests may be put back.
-    double memoryOverflowMs = 4'000; ///< For each whole memory beyond that share.
+    double prefillTokensPerMs = 48; ///< Prefill rate, as specified by the users.
+    double localFetchTokensPerMs = 150; ///< Fetch rate from a store in the target's failure domain.
+    double remoteFetchTokensPerMs = 60; ///< Fetch rate from a store in a remote failure domain.
+    double waitingRequestMs = 150; ///< Delay by each request that waits on the target.
+    double unreportedRequestMs = 60; ///< Delay by each own request that is too recent for the report.
+    double runningRequestMs = 3; ///< Delay by each running request, which slows the steps of the batch.
+    double preemptionMemoryShare = 0.75; ///< Above this share of memory, running requests may be preempted.
+    double memoryOverflowMs = 4'000; ///< Delay per memory share in excess of it; 1 is the whole memory.
 };
 
-/// Limits of the choice.
+/// Settings of a target_selector.
 struct target_selector_options {
-    std::string failureDomain; ///< Of this entry; near targets are taken first.
-    double coldRateFactor = 1.0; ///< Of a service's cold rate that all entries together use.
-    milliseconds initialBackoff { 400 }; ///< A target that failed is left alone so long at first.
+    std::string failureDomain; ///< Of this entry; local targets are preferred.
+    double coldRateFactor = 1.0; ///< Applied to a service's cold request rate, which all entries share.
+    milliseconds initialBackoff { 400 }; ///< Back-off after a first failure; doubles with each further one.
     milliseconds maxBackoff { 5'000 };
     engine_latency_model latencyModel {};
-    milliseconds maxAnswerAge { 2'000 }; ///< A silent target that answered so lately still gets requests.
-    milliseconds maxLoadAge { 1'500 }; ///< A reported load counts so long.
-    /// How long older weights may begin a request after newer were named.
+    /// A silent target stays usable for this long after its latest answer.
+    milliseconds maxAnswerAge { 2'000 };
+    milliseconds maxLoadAge { 1'500 }; ///< Older load reports are ignored.
+    /// How long requests may start on stale weights after the current version changed.
     milliseconds staleWeightsGracePeriod { 6'000 };
-    /// What a request may be delayed to begin on the named weights rather than on older ones.
+    /// Added to the predicted time of targets with stale weights.
     double staleWeightsPenaltyMs = 150;
 };
 
-/// The targets as one entry sees them, and the choice among them. No input, output or clock.
+/// Tracks the targets known to one entry and selects one for each attempt. Performs no I/O and reads no
+/// clock.
 class target_selector {
 public:
     explicit target_selector(target_selector_options options)
@@ -109,46 +111,48 @@
     {
     }
 
-    /// Takes announcements.
-    /// @param isComplete whether they are all targets that there are.
+    /// Applies announcements of targets.
+    /// @param isComplete whether they cover all targets; those that are missing count as leaving.
     void applyAnnouncements(const std::vector<target_announcement>& targets, bool isComplete, instant now);
 
-    /// Takes what operators put in force.
+    /// Excludes the targets of these failure domains; replaces the former set.
     void setOutOfService(std::set<std::string> failureDomains) { m_outOfService = std::move(failureDomains); }
+    /// Sets the current weight version by model.
     void setWeights(const std::map<std::string, std::uint64_t>& weights, instant now);
     void setServices(const std::vector<service_limits>& services);
-    /// Takes what targets reported of their work.
+    /// Applies load reports; those of unknown targets are ignored.
     void applyLoads(const std::vector<target_load>& loads, instant now);
-    /// @param count entries that share the cold targets' rates.
+    /// @param count entries that share the request rate of cold targets.
     void setEntryCount(std::uint32_t count) { m_entries = count; }
 
-    /// Chooses a target and counts the attempt as unreportedAttempts.
+    /// Selects a target and records the start of an attempt on it. Each must be ended by onAttemptEnded().
     placement_result choose(const placement_request& request, instant now);
 
-    /// Takes how an attempt ended that choose() began.
-    /// @param tokens memory that the attempt was expected to take, see expectedTokens().
+    /// Records the end of an attempt that choose() started.
+    /// @param tokens memory that was expected for the attempt, see expectedTokens().
     void onAttemptEnded(const std::string& target, attempt_result result, std::uint64_t tokens, instant now);
 
-    /// @return the memory that a request is expected to take at its end.
+    /// @return the KV cache tokens that a request is expected to occupy when it ends.
     static std::uint64_t expectedTokens(const placement_request& request)
     {
         return request.promptTokens + request.outputTokens;
     }
 
-    /// Takes that a target reported another weight version than it was known to have.
+    /// Excludes a target for a short time, or until it announces other weights, after it rejected a request
+    /// because it has another weight version than last known.
     void markWeightsUnconfirmed(const std::string& target, instant now);
 
-    /// @return the named weight version of a model, or that of a target that has it while none is named.
+    /// @return the current weight version of a model. If none is set, that of any target with the model;
+    /// empty if there is none.
     std::string currentWeightVersion(const std::string& model) const;
 
     const engine_latency_model& latencyModel() const { return m_options.latencyModel; }
 
     /// @param address ip:port
-    /// @return the engine at an address as a source of KV parts, or nothing when none there is thought to
-    /// answer.
+    /// @return the engine at an address as a source of KV parts, or nothing if no responsive one is known.
     std::optional<part_source> findSource(const std::string& address, instant now) const;
 
-    /// @return whether a target neither announces itself nor has answered this entry lately.
+    /// @return whether a target neither announces itself nor has recently answered this entry.
     bool isSilent(const std::string& target, instant now) const;
 
     std::size_t size() const { return m_targets.size(); }
@@ -157,17 +161,16 @@
     struct tracked_target {
         target_announcement last;
         instant coldUntil {};
-        std::optional<instant>
-            lastStartWhileCold; ///< When an attempt was last unreportedAttempts while it was cold.
+        std::optional<instant> lastStartWhileCold; ///< Latest start of an attempt while it was cold.
         instant backoffUntil {};
-        std::optional<instant> lastAnswerAt; ///< The latest answer to this entry.
+        std::optional<instant> lastAnswerAt; ///< Latest answer to this entry.
         milliseconds currentBackoff { 0 };
         std::uint32_t inFlight = 0;
         std::uint64_t inFlightTokens = 0;
-        std::optional<target_load> load; ///< As last reported.
+        std::optional<target_load> load; ///< Latest report.
         instant loadAt {};
-        std::deque<std::pair<instant, std::uint64_t>>
-            unreportedAttempts; ///< Own attempts that a report may not show yet.
+        /// Recent own attempts that a load report may not include: start and expected tokens.
+        std::deque<std::pair<instant, std::uint64_t>> unreportedAttempts;
         bool weightsUnconfirmed = false;
         instant unconfirmedSince {};
     };
@@ -205,12 +208,12 @@
     std::uint32_t m_entries = 1;
 };
 
-/// Repeats towards each service, limited to a share of its requests and this entry's part of a common
-/// reserve.
+/// Limits the retries to each service within a sliding window: to a share of its requests plus this entry's
+/// part of a reserve that all entries have in common.
 class windowed_retry_budget {
 public:
     /// @param share retries per request.
-    /// @param reserve retries that all entries together may add in a window.
+    /// @param reserve additional retries per window, of all entries together.
     windowed_retry_budget(double share, double reserve, milliseconds window)
         : m_share(share)
         , m_reserve(reserve)
@@ -220,7 +223,7 @@
 
     void setEntryCount(std::uint32_t count) { m_entries = count; }
     void onRequest(const std::string& service, instant now);
-    /// @return whether a repeat may be sent; it is counted then.
+    /// @return whether a retry may be sent; if so, it is counted.
     bool tryTake(const std::string& service, instant now);
 
 private:
--- a/packages/core/include/plumfold/core/plumfold_target_table.hpp
+++ b/packages/core/include/plumfold/core/plumfold_target_table.hpp
@@ -8,26 +8,27 @@
 
 namespace plumfold::core {
 
-/// A target as one entry knows it.
+/// State of a target as known to one entry.
 struct known_target {
     target_report report;
     instant reportedAt {}; ///< When the target sent the report.
-    std::uint32_t startedSinceReport = 0; ///< Own requests sent there since the report.
-    std::uint32_t ownRunning = 0; ///< Own requests that run there now.
-    instant avoidUntil {}; ///< Set after a failure.
+    std::uint32_t startedSinceReport = 0; ///< Own requests sent since the report.
+    std::uint32_t ownRunning = 0; ///< Own requests in flight.
+    instant avoidUntil {}; ///< End of the back-off after a failure.
 };
 
-/// The targets that have announced themselves. A target that stays silent is forgotten.
+/// The targets that have announced themselves. Targets are removed if their reports stop.
 class target_table {
 public:
-    /// @param expiry silence after which a target is forgotten.
+    /// @param expiry maximum age of a target's latest report.
     explicit target_table(milliseconds expiry);
 
-    /// Takes in a report, also one relayed by another entry.
+    /// Applies a report, received from the target or relayed by another entry.
     /// @param sentAt when the target sent it.
-    /// @return whether it was news: reports that are older than the known one are dropped.
+    /// @return whether it was applied; reports older than the known one are dropped.
     bool update(const target_report& report, instant sentAt);
 
+    /// Removes targets whose latest report has expired.
     void expire(instant now);
     void remove(const std::string& name) { m_targets.erase(name); }
 
--- a/packages/core/src/plumfold_target_directory.cpp
+++ b/packages/core/src/plumfold_target_directory.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Whether two announcements differ in what matters to those who send work.
+/// @return whether two announcements differ in anything that matters to request routing.
 bool differs(const target_announcement& left, const target_announcement& right)
 {
     auto compared = [](const target_announcement& each) {
@@ -30,13 +30,13 @@
     entry& known = place->second;
     bool sameIncarnation = next.startedAt == known.last.startedAt;
     if (!isNew && !isNewer(next, known.last)) {
-        // The loss of a target is told under its latest announcement's sequence.
+        // Peers relay a target's silence or departure with the sequence of its latest announcement.
         bool worse = sameIncarnation && next.sequence == known.last.sequence && next.state > known.last.state;
         if (!worse || isDirect)
             return false;
     }
     target_announcement applied = next;
-    // A target that said it leaves does not come back in the same life.
+    // A leaving target does not become ready again in the same incarnation.
     if (!isNew && sameIncarnation && known.last.state == target_state::leaving)
         applied.state = target_state::leaving;
     bool changed = isNew || differs(applied, known.last);
--- a/packages/core/src/plumfold_target_selector.cpp
+++ b/packages/core/src/plumfold_target_selector.cpp
@@ -10,11 +10,12 @@
 namespace {
 
 constexpr milliseconds retryWithoutTarget { 500 };
-constexpr milliseconds retryWhenFull { 300 };
-/// Own attempts that are added to a target's reported load at most.
+constexpr milliseconds retryAfterColdLimit { 300 };
+/// Maximum number of own attempts that are added to a target's reported load.
 constexpr std::size_t maxUnreportedAttempts = 64;
+/// With more own requests in flight, a target counts as under load.
 constexpr std::uint32_t maxLightLoadInFlight = 3;
-/// A target that refused the weights it was known to have gets no request so long.
+/// How long a target gets no request after it rejected one for its weight version.
 constexpr milliseconds unconfirmedWeightsBackoff { 1'500 };
 
 } // namespace
@@ -102,7 +103,7 @@
         || now - current->second.currentSince < m_options.staleWeightsGracePeriod;
 }
 
-/// A target that only control cannot hear still serves; its answers show that.
+/// A target that is silent only towards the control VMs still serves, as its answers to this entry show.
 bool target_selector::isResponsive(const tracked_target& target, instant now) const
 {
     if (target.last.state == target_state::silent)
@@ -136,7 +137,7 @@
     double rate = limits == m_services.end() ? 0 : limits->second.coldRequestsPerSecond;
     if (rate <= 0)
         return milliseconds(0);
-    // Each entry uses its share of the rate, so that no message is needed.
+    // Each entry uses a fixed part of the rate, so that entries need not coordinate.
     double perEntry = rate * m_options.coldRateFactor / std::max(m_entries, 1u);
     return milliseconds(static_cast<std::int64_t>(1000 / perEntry));
 }
@@ -171,7 +172,7 @@
         return answer;
     }
     answer.reason = coldRateExhausted ? placement_failure::cold : placement_failure::no_target;
-    answer.retryAfter = coldRateExhausted ? retryWhenFull : retryWithoutTarget;
+    answer.retryAfter = coldRateExhausted ? retryAfterColdLimit : retryWithoutTarget;
     return answer;
 }
 
@@ -194,7 +195,7 @@
     return out;
 }
 
-/// @return whether more than a few requests are ahead of a new one.
+/// @return whether more than a few requests are ahead of a new one; true if that is not known.
 bool target_selector::isUnderLoad(const tracked_target& target, instant now) const
 {
     if (!target.load || now - target.loadAt > m_options.maxLoadAge)
@@ -211,7 +212,7 @@
         return selectForSession(candidates, request, now);
     auto cost = [&](const tracked_target* target) {
         bool isRemote = target->last.failureDomain != m_options.failureDomain;
-        // A isRemote target is taken when the near ones have a whole batch more in flight.
+        // A remote target is selected once the local ones have a whole batch more in flight.
         double load = static_cast<double>(target->inFlight) * m_entries / std::max(target->last.slots, 1u);
         return std::pair(load + (isRemote ? 1.0 : 0.0), target->last.name);
     };
@@ -219,14 +220,16 @@
         [&](const auto* left, const auto* right) { return cost(left) < cost(right); });
 }
 
-/// The first targets that have loaded newly current weights would get all requests if older ones got none.
+/// A penalty instead of an exclusion: otherwise the first targets that have loaded a new version would get
+/// all requests.
+/// @return what is added to the predicted time, in ms.
 double target_selector::staleWeightsPenalty(
     const tracked_target& target, const placement_request& request) const
 {
     return hasCurrentWeights(target, request.model) ? 0 : m_options.staleWeightsPenaltyMs;
 }
 
-/// @return how long the requests that a target has delay another one.
+/// @return how long the requests on a target delay another one, in ms.
 double target_selector::waitMs(
     const tracked_target& target, const placement_request& request, instant now) const
 {
@@ -270,11 +273,11 @@
     return std::find(holders.begin(), holders.end(), target.last.address) != holders.end();
 }
 
-/// @return the time to get the shared part where a target does not hold it.
+/// @return the time that a target needs to fetch or recompute the shared part, in ms; 0 if it holds it.
 double target_selector::cacheMissMs(
     const tracked_target& target, const placement_request& request, bool isPreferred) const
 {
-    // Where nobody is known to hold it, its preferred may.
+    // If no holder is known, the preferred target may hold it.
     if (isHolder(target, request) || (request.holders.empty() && isPreferred))
         return 0;
     const auto& latency = m_options.latencyModel;
@@ -302,7 +305,7 @@
     return part_source { address, target.last.failureDomain, limits->second.engine->linkMegabitsPerSecond };
 }
 
-/// @return the target with the highest score, which is the conversation's preferred on every entry.
+/// Rendezvous hashing, so that all entries prefer the same target for a conversation.
 target_selector::tracked_target* target_selector::preferredTarget(
     const std::vector<tracked_target*>& candidates, std::uint64_t session) const
 {
--- a/packages/core/src/plumfold_target_table.cpp
+++ b/packages/core/src/plumfold_target_table.cpp
@@ -14,7 +14,7 @@
     bool sameProcess = known.report.incarnation == report.incarnation;
     if (!isNew && sameProcess && report.sequence <= known.report.sequence)
         return false;
-    // A relayed report of an earlier process must not bring it back.
+    // A relayed report of an earlier incarnation must not replace that of the present one.
     if (!isNew && !sameProcess && sentAt < known.reportedAt)
         return false;
     if (!sameProcess) {
--- a/tests/core/plumfold_target_directory_tests.cpp
+++ b/tests/core/plumfold_target_directory_tests.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("Late announcements and those of a former life change nothing", "[target_directory]")
+TEST_CASE("Stale announcements and those of an earlier incarnation are ignored", "[target_directory]")
 {
     target_directory directory;
     CHECK(directory.apply(shop(100, 5), true, start));
@@ -31,7 +31,7 @@
     CHECK(directory.entries().at("t1").last.startedAt == 110);
 }
 
-TEST_CASE("A target that said it leaves does not come back in the same life", "[target_directory]")
+TEST_CASE("A leaving target does not become ready again in the same incarnation", "[target_directory]")
 {
     target_directory directory;
     directory.apply(shop(100, 1), true, start);
@@ -42,7 +42,8 @@
     CHECK(directory.entries().at("t1").last.state == target_state::ready);
 }
 
-TEST_CASE("A target that is not heard becomes silent, and ready again when it is", "[target_directory]")
+TEST_CASE("A target becomes silent after the timeout and ready again with its next announcement",
+    "[target_directory]")
 {
     target_directory directory;
     directory.apply(shop(100, 1), true, start);
@@ -54,7 +55,7 @@
     CHECK(directory.entries().at("t1").last.state == target_state::ready);
 }
 
-TEST_CASE("A control VM that stood still does not blame the targets", "[target_directory]")
+TEST_CASE("Targets are not marked silent for time in which the control VM was stalled", "[target_directory]")
 {
     target_directory directory;
     directory.apply(shop(100, 1), true, start);
--- a/tests/core/plumfold_target_selector_tests.cpp
+++ b/tests/core/plumfold_target_selector_tests.cpp
@@ -49,7 +49,7 @@
     CHECK(conversationOf({}) == 0);
 }
 
-TEST_CASE("A conversation returns to the same target on every entry", "[target_board]")
+TEST_CASE("All entries select the same target for a conversation", "[target_board]")
 {
     auto first = selectorOf({ engine("t1"), engine("t2"), engine("t3") });
     auto second = selectorOf({ engine("t3"), engine("t1"), engine("t2") });
@@ -58,7 +58,7 @@
             == second.choose(requestOf(session), start).chosen->target);
 }
 
-TEST_CASE("A conversation goes to the target that holds its shared part while that one is not loaded",
+TEST_CASE("A conversation goes to the target that holds its shared part while that target is not under load",
     "[target_board]")
 {
     auto selector = selectorOf({ engine("t1"), engine("t2"), engine("t3") });
@@ -74,7 +74,9 @@
     }
 }
 
-TEST_CASE("A stored conversation goes to an engine near its store until those are loaded", "[target_board]")
+TEST_CASE(
+    "A stored conversation goes to an engine in its store's failure domain until that engine is under load",
+    "[target_board]")
 {
     auto selector = selectorOf({ engine("t1", "a"), engine("t2", "b") });
     auto request = requestOf(7);
@@ -86,7 +88,7 @@
     CHECK(selector.choose(request, start).chosen->target == "t1");
 }
 
-TEST_CASE("While newly named weights are loaded, the first engines that have them are not overrun",
+TEST_CASE("While a new weight version is being loaded, the first engines with it are not overloaded",
     "[target_board]")
 {
     constexpr int engines = 6;
@@ -110,14 +112,15 @@
     }
     CHECK(sent["t0"] > requests / engines); // preferred
     CHECK(sent["t0"] < requests / 2);
-    // After the time for older weights nothing begins on them.
+    // After the grace period no request starts on stale weights.
     auto later = start + milliseconds(6'100);
     for (int number = 0; number < requests; ++number)
         CHECK(
             selector.choose(requestOf(static_cast<std::uint64_t>(number) + 1), later).chosen->target == "t0");
 }
 
-TEST_CASE("A target that carries out an order gets no request until it reports that it has", "[target_board]")
+TEST_CASE(
+    "A target that executes an order gets no request until it reports that it has finished", "[target_board]")
 {
     auto selector = selectorOf({ engine("t1"), engine("t2") });
     selector.applyLoads({ { "t1", 0, 0, 0, {}, true }, { "t2", 9, 2, 60'000, {}, false } }, start);
@@ -126,7 +129,7 @@
     CHECK(selector.choose(requestOf(7), start).chosen->target == "t1");
 }
 
-TEST_CASE("Only engines that are thought to answer are sources of KV parts", "[target_board]")
+TEST_CASE("Only responsive engines are sources of KV parts", "[target_board]")
 {
     auto selector = selectorOf({ engine("t1") });
     service_limits pool;
@@ -141,7 +144,7 @@
     CHECK_FALSE(selector.findSource("10.9.9.9:80", start));
 }
 
-TEST_CASE("Leaving targets and failure domains out of service get nothing", "[target_board]")
+TEST_CASE("Leaving targets and failure domains out of service receive no requests", "[target_board]")
 {
     auto selector = selectorOf({ engine("t1"), engine("t2", "b") });
     auto leaving = engine("t1");
@@ -152,7 +155,7 @@
     CHECK_FALSE(selector.choose(requestOf(), start).chosen);
 }
 
-TEST_CASE("A target that could not be reached is left alone for a while", "[target_board]")
+TEST_CASE("A target that could not be reached gets no requests during its back-off", "[target_board]")
 {
     auto selector = selectorOf({ engine("t1") });
     REQUIRE(selector.choose(requestOf(), start).chosen);
@@ -161,7 +164,7 @@
     CHECK(selector.choose(requestOf(), start + milliseconds(1000)).chosen);
 }
 
-TEST_CASE("All entries together keep to the rate that a cold target bears", "[target_board]")
+TEST_CASE("All entries together stay within the request rate of a cold target", "[target_board]")
 {
     constexpr std::uint32_t entries = 9;
     constexpr double coldRate = 9;
@@ -181,8 +184,8 @@
     CHECK(selector.choose(requestOf(), start + milliseconds(4000)).chosen);
 }
 
-TEST_CASE(
-    "Older weights begin a request only within their bound after newer ones were named", "[target_board]")
+TEST_CASE("Requests start on stale weights only within the grace period after a new version becomes current",
+    "[target_board]")
 {
     auto selector = selectorOf({ engine("t1") });
     selector.setWeights({ { "m", 2 } }, start);
@@ -194,7 +197,7 @@
     CHECK(selector.choose(requestOf(), start + milliseconds(1000)).chosen->target == "t2");
 }
 
-TEST_CASE("Repeats stay within the share of requests and the entry's part of the reserve", "[target_board]")
+TEST_CASE("Retries stay within the share of requests and the entry's part of the reserve", "[target_board]")
 {
     windowed_retry_budget budget(0.2, 58, milliseconds(10'000));
     budget.setEntryCount(9);
