--- a/packages/core/include/plumfold/core/plumfold_load_planner.hpp
+++ b/packages/core/include/plumfold/core/plumfold_load_planner.hpp
@@ -21,24 +21,24 @@
     auto operator<=>(const load_order&) const = default;
 };
 
-/// Brings the targets of one failure domain to the weight versions in force, some at a time. What a target
-/// reports decides whether a load has succeeded. A version that fails on several targets and works on none is
-/// given up until another one is put in force.
+/// Rolls out the current weight versions to the targets of one failure domain, with a limited number of
+/// concurrent loads. Whether a load has succeeded is decided by the target's report. A version that fails on
+/// several targets and succeeds on none is abandoned until another version becomes current.
 class load_planner {
 public:
-    /// @param loadTimeout a load that takes longer has failed.
+    /// @param loadTimeout time after which a load counts as failed.
     explicit load_planner(milliseconds loadTimeout);
 
-    /// @param targets the present reports of the failure domain's targets.
-    /// @param limit loads at the same time.
-    /// @return the orders to give now; they count as given.
+    /// @param targets the latest reports of the failure domain's targets.
+    /// @param limit maximum number of concurrent loads.
+    /// @return the orders to send now; they are recorded as outstanding.
     std::vector<load_order> plan(const configuration& config, const std::vector<target_report>& targets,
         std::uint32_t limit, instant now);
 
-    /// A target did not take its order.
+    /// Removes an outstanding order that its target rejected; the target gets no order during a back-off.
     void onOrderRejected(const load_order& order, instant now);
 
-    /// @return the versions that were given up, as "model version".
+    /// @return the abandoned versions, as "model version".
     std::vector<std::string> abandonedVersions() const;
 
 private:
@@ -51,13 +51,14 @@
         bool hasSucceeded = false;
     };
 
+    /// Removes the orders that have succeeded or failed and records their results.
     void resolveOutstanding(const std::vector<target_report>& targets, instant now);
     bool isAbandoned(const std::string& model, const std::string& version) const;
 
     milliseconds m_loadTimeout;
-    std::map<std::string, outstanding_load> m_outstanding; // by target
-    std::map<std::string, instant> m_notBefore; // by target, after a failure
-    std::map<std::pair<std::string, std::string>, version_record> m_versions; // by model and version
+    std::map<std::string, outstanding_load> m_outstanding; ///< By target.
+    std::map<std::string, instant> m_notBefore; ///< End of the back-off after a failure, by target.
+    std::map<std::pair<std::string, std::string>, version_record> m_versions; ///< By model and version.
 };
 
 } // namespace plumfold::core
--- a/tests/core/plumfold_load_planner_tests.cpp
+++ b/tests/core/plumfold_load_planner_tests.cpp
@@ -37,7 +37,7 @@
 
 } // namespace
 
-TEST_CASE("No more targets load at once than the failure domain allows", "[orders]")
+TEST_CASE("The number of concurrent loads stays within the failure domain's limit", "[orders]")
 {
     load_planner planner(timeout);
     auto config = currentVersionConfig("v2");
@@ -49,7 +49,7 @@
     CHECK(planner.plan(config, all, 3, now).size() == 1);
 }
 
-TEST_CASE("A version that fails on several targets and works on none is given up", "[orders]")
+TEST_CASE("A version that fails on several targets and succeeds on none is abandoned", "[orders]")
 {
     load_planner planner(timeout);
     auto config = currentVersionConfig("bad");
@@ -65,7 +65,7 @@
     CHECK(planner.plan(currentVersionConfig("good"), all, 1, now).size() == 1);
 }
 
-TEST_CASE("One that works somewhere is tried on", "[orders]")
+TEST_CASE("A version that succeeds on one target is not abandoned", "[orders]")
 {
     load_planner planner(timeout);
     auto config = currentVersionConfig("v2");
@@ -80,7 +80,8 @@
     CHECK(planner.abandonedVersions().empty());
 }
 
-TEST_CASE("A lease has one holder, and the next one's fencing number is higher", "[orders][lease]")
+TEST_CASE(
+    "A lease has one holder at a time, and each new holder gets a higher fencing token", "[orders][lease]")
 {
     control_state state;
     auto first = lease(state, 0, "a");
