--- a/packages/core/include/plumfold/core/plumfold_admission.hpp
+++ b/packages/core/include/plumfold/core/plumfold_admission.hpp
@@ -8,22 +8,22 @@
 
 namespace plumfold::core {
 
-/// Refuses prompts at once that would wait beyond their latency target on every target. Load it answers: more
-/// work than the engines can read, where every admitted prompt delays all others and most would come late;
-/// the least urgent are refused first, whatever their size.
+/// Rejects prompts immediately that would wait beyond their latency target on every target. Guards against
+/// overload: if more prompts arrive than the engines can prefill, every admitted one delays all others and
+/// most would be late. The least urgent are rejected first, regardless of their size.
 class admission {
 public:
-    /// Takes how long a prompt waited behind others.
-    /// @param predictedMs what the choice of its target predicted.
+    /// Records how long a prompt waited for other requests.
+    /// @param predictedMs wait that was predicted when its target was selected.
     void record(double predictedMs, double waitedMs);
 
-    /// @param predictedMs time that the prompt is predicted to wait behind others on the best target.
+    /// @param predictedMs predicted wait for other requests on the best target.
     /// @param priority 0 is the most urgent.
-    /// @return nothing when it is admitted, else when it should come back.
+    /// @return nothing if the prompt is admitted, otherwise the time after which the caller should retry.
     std::optional<milliseconds> refusal(const route& on, std::uint32_t priority, double predictedMs) const;
 
 private:
-    double m_bias = 1; // waits were so many times as long as predicted
+    double m_bias = 1; ///< Ratio of actual to predicted wait, EWMA.
 };
 
 } // namespace plumfold::core
--- a/packages/core/include/plumfold/core/plumfold_entry_membership.hpp
+++ b/packages/core/include/plumfold/core/plumfold_entry_membership.hpp
@@ -8,7 +8,7 @@
 
 namespace plumfold::core {
 
-/// One entry as another one knows it.
+/// State of an entry as known to another one.
 struct entry_peer_state {
     std::string name;
     std::string failureDomain;
@@ -17,19 +17,21 @@
     instant lastSeenAt {};
 };
 
-/// The entries that are alive as seen from one entry, and who of them owns the permits of a target.
+/// The entries that one entry considers alive, and the owner among them of each target's concurrency permits.
 class entry_membership {
 public:
-    /// @param expiry silence after which an entry counts as dead.
+    /// @param expiry time without an update after which an entry counts as dead.
     entry_membership(std::string self, std::string failureDomain, milliseconds expiry);
 
+    /// Adds or updates a peer; removes it if it is leaving.
     void onPeerUpdate(const entry_peer_state& peer);
+    /// Removes peers whose latest update has expired.
     void expire(instant now);
     void setLeaving() { m_leaving = true; }
 
-    /// Rendezvous hashing over the live entries of the target's failure domain. Where none lives there, over
-    /// all.
-    /// @return the owner's name; empty when no entry is left.
+    /// Rendezvous hashing over the live entries of the target's failure domain, or over all live entries if
+    /// there is none.
+    /// @return the owner's name; empty if no entry is left.
     std::string ownerOf(const std::string& target, const std::string& failureDomain) const;
 
     bool isAlive(const std::string& entry) const { return entry == m_self || m_peers.contains(entry); }
@@ -38,6 +40,7 @@
     const std::string& failureDomain() const { return m_failureDomain; }
 
 private:
+    /// @param failureDomain null for all.
     std::string ownerAmong(const std::string& target, const std::string* failureDomain) const;
 
     std::string m_self;
--- a/packages/core/include/plumfold/core/plumfold_link_budget.hpp
+++ b/packages/core/include/plumfold/core/plumfold_link_budget.hpp
@@ -6,20 +6,20 @@
 
 namespace plumfold::core {
 
-/// Paces transfers over one link. A waiting request's transfer may use the whole link; background copies only
-/// start when the link is idle enough.
+/// Schedules transfers over one link. A transfer that a request waits for may use the whole link; background
+/// copies start only if the backlog of the link is short.
 class link_budget {
 public:
     /// @param bytesPerSecond capacity of the link.
     explicit link_budget(std::uint64_t bytesPerSecond);
 
-    /// @return how long a transfer that starts now would take, with those already promised.
+    /// @return how long a transfer that starts now would take, including those already reserved.
     milliseconds estimate(std::uint64_t bytes, instant now) const;
 
-    /// Promises a transfer.
+    /// Reserves link time for a transfer.
     void reserve(std::uint64_t bytes, instant now);
 
-    /// @return whether a background copy may start without delaying a waiting request noticeably.
+    /// @return whether a background copy may start without a noticeable delay for waiting requests.
     bool allowsBackground(instant now) const;
 
     std::uint64_t bytesReserved() const { return m_bytesReserved; }
--- a/packages/core/include/plumfold/core/plumfold_retry_budget.hpp
+++ b/packages/core/include/plumfold/core/plumfold_retry_budget.hpp
@@ -2,17 +2,18 @@
 
 namespace plumfold::core {
 
-/// Limits retries to a share of the recent load, so that retries never multiply an overload.
+/// Token bucket that limits retries to a share of the recent load, so that they do not amplify an overload.
 class retry_budget {
 public:
     /// @param share retries per first attempt.
-    /// @param reserve retries that are allowed without any load.
+    /// @param reserve retries that are allowed without any load: the capacity of the bucket, which starts
+    /// full.
     retry_budget(double share, double reserve);
 
     /// Counts a first attempt.
     void onAttempt();
 
-    /// @return whether a retry may be made; it is counted then.
+    /// @return whether a retry may be made; if so, it is counted.
     bool tryTake();
 
 private:
--- a/packages/core/include/plumfold/core/plumfold_router.hpp
+++ b/packages/core/include/plumfold/core/plumfold_router.hpp
@@ -14,7 +14,7 @@
 
 namespace plumfold::core {
 
-/// What a choice of target looks at.
+/// State that the selection of a target depends on.
 struct routing_view {
     const configuration_view& config;
     const target_table& targets;
@@ -22,16 +22,16 @@
     const prefix_index& prefixes;
     const speed_model& speeds;
     const link_budget& link;
-    const std::map<std::string, instant>& fullUntil;
+    const std::map<std::string, instant>& fullUntil; ///< By target.
 };
 
-/// The result of a choice.
+/// The result of a target selection.
 struct routing_choice {
-    std::optional<dispatch_plan> plan; ///< Empty when no target can take the request now.
-    bool anyEligible = false; ///< Whether some target could take it later.
+    std::optional<dispatch_plan> plan; ///< Empty if no target can accept the request now.
+    bool anyEligible = false; ///< Some target could accept it later.
 };
 
-/// Chooses targets by predicted time to first token.
+/// Selects targets by predicted time to first token.
 class router {
 public:
     router(const dispatch_options& options);
@@ -40,14 +40,14 @@
         const routing_view& view, instant now);
 
 private:
-    /// What is expected of a request on a target.
+    /// Predicted execution of a request on a target.
     struct estimate {
         std::uint32_t cachedBlocks = 0;
         std::uint32_t importBlocks = 0;
         milliseconds firstToken { 0 };
     };
 
-    /// @return whether rules, not load, allow the request on the target.
+    /// @return whether the target may run the request, regardless of its load.
     bool isAllowed(const request_spec& spec, const std::string& version, const known_target& target,
         const routing_view& view, instant now) const;
     static estimate estimateFor(
--- a/packages/core/include/plumfold/core/plumfold_wait_predictor.hpp
+++ b/packages/core/include/plumfold/core/plumfold_wait_predictor.hpp
@@ -6,24 +6,26 @@
 
 namespace plumfold::core {
 
-/// Predicts how long a new request would wait, from the rate at which waiting work has been started. Only
-/// while requests wait does that rate show what the targets can do, so it is measured over that time.
+/// Predicts the queueing time of a new request from the rate at which queued work is started. The rate is
+/// measured only while requests wait, since otherwise it reflects the arrivals instead of the targets'
+/// capacity.
 class wait_predictor {
 public:
-    /// The first request begins to wait.
+    /// The queue became non-empty; restarts the measurement.
     void onBusy(instant now);
-    /// Work has started.
+    /// A queued request was started.
     /// @param cost in tokens.
     void onStarted(std::uint32_t cost, instant now);
-    /// A request has been answered.
-    /// @param firstToken from its start.
+    /// A request received its first token.
+    /// @param firstToken time since its start.
     void onFirstToken(milliseconds firstToken);
 
-    /// @param waitingCost tokens of work that wait.
+    /// @param waitingCost tokens of the queued requests.
+    /// @return the predicted wait; 0 until the queue has been non-empty long enough to measure a rate.
     milliseconds wait(std::uint64_t waitingCost, instant now);
-    /// @return the mean time from start to first token of recent answers.
+    /// @return the moving average of the time from start to first token.
     milliseconds firstTokenAfterStart() const;
-    /// @return when work was started or began to wait last.
+    /// @return when a request last began to wait or was started, or a wait was last predicted.
     instant lastUsed() const { return m_decayedAt; }
 
 private:
@@ -31,7 +33,7 @@
 
     instant m_busySince {};
     instant m_decayedAt {};
-    double m_startedCost = 0; // since the beginning of the wait, decayed
+    double m_startedCost = 0; ///< Tokens started since m_busySince, with exponential decay.
     double m_meanFirstTokenMs = 0;
 };
 
--- a/packages/core/src/plumfold_admission.cpp
+++ b/packages/core/src/plumfold_admission.cpp
@@ -11,10 +11,10 @@
 constexpr double sampleWeight = 0.05;
 constexpr double minBias = 0.5;
 constexpr double maxBias = 4;
-/// Predictions below this say nothing about queues.
+/// Shorter predicted waits do not indicate a queue.
 constexpr double minPredictedMs = 30;
-/// Part of its latency target that a prompt of each priority may wait behind others; the last holds for all
-/// lower.
+/// Share of its latency target that a prompt may wait for others, by priority; the last applies to all lower
+/// priorities.
 constexpr std::array<double, 3> maxWaitShares { 1.2, 0.9, 0.6 };
 constexpr milliseconds minRetryAfter { 1'000 };
 constexpr milliseconds maxRetryAfter { 3'000 };
--- a/packages/core/src/plumfold_router.cpp
+++ b/packages/core/src/plumfold_router.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-// A target in another failure domain costs a way there and back for every token.
+// A target in a remote failure domain adds a round trip to every token.
 constexpr milliseconds otherDomainCost { 3 };
-// Share by which a full batch slows down a first token.
+// Relative slowdown of the first token by a full batch.
 constexpr double batchInterference = 0.5;
-// Targets whose predicted costs differ less than this are equal; chance spreads several entries over them.
+// Targets with a cost up to this ratio plus margin above the lowest count as equal; a random choice among
+// them spreads the load of several entries.
 constexpr double equalCostRatio = 1.1;
 constexpr milliseconds equalCostMargin { 2 };
 
@@ -67,8 +68,8 @@
     const auto* domain = view.config.config().failureDomain(report.failureDomain);
     if (!domain || !domain->inService)
         return false;
-    // Without news from a quorum this entry may be cut off: other failure domains may have been taken out
-    // unnoticed.
+    // With a stale view of the configuration this entry may be partitioned from the quorum and miss that a
+    // remote failure domain was taken out of service.
     bool local = report.failureDomain == m_failureDomain;
     return local || view.config.isFresh(now, m_maxViewAge);
 }
@@ -135,7 +136,7 @@
     std::vector<candidate> candidates;
     auto cached = view.prefixes.match(spec.chain);
     std::string version = versionFor(spec, view.config.config());
-    // Most targets hold nothing of a prompt; their estimate is the same.
+    // Most targets have no blocks of a prompt cached and share one estimate.
     const estimate withoutBlocks = estimateFor(spec, 0, view, now);
     for (const auto& [name, target] : view.targets.all()) {
         if (!isAllowed(spec, version, target, view, now) || excluded.contains(name))
@@ -156,7 +157,7 @@
         + static_cast<double>(equalCostMargin.count());
     std::erase_if(
         candidates, [&](const auto& each) { return static_cast<double>(each.cost.count()) > maxCostMs; });
-    // Of two equal targets drawn by chance the one with less load is taken.
+    // Power of two choices: of two random candidates, the less loaded one is selected.
     std::uniform_int_distribution<std::size_t> draw(0, candidates.size() - 1);
     candidate* first = &candidates[draw(m_random)];
     candidate* second = &candidates[draw(m_random)];
--- a/packages/core/src/plumfold_slow_start_window.cpp
+++ b/packages/core/src/plumfold_slow_start_window.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-// A first token this many times later than that of a warm target means cold start.
+// A first token that takes this many times longer than on a warm target indicates cold start.
 constexpr std::int64_t coldRatio = 4;
-// Up to this ratio the target keeps pace.
+// Up to this ratio the target keeps pace with a warm one.
 constexpr std::int64_t goodRatio = 2;
-// Differences below this are noise whatever the ratio.
+// Smaller differences are noise, whatever their ratio.
 constexpr milliseconds noiseFloor { 50 };
-// One slow answer may be chance; this many in a row are not.
+// A single slow answer may be an outlier.
 constexpr std::uint32_t slowAnswersToClose = 2;
-// Where no warm target is known, a target has warmed up when it is this much faster than at first, or after
-// so many answers without becoming faster.
+// Without a reference, a target counts as warm once its latency has fallen to this ratio of its first
+// answer's, or after this many answers.
 constexpr double warmedUpRatio = 0.5;
 constexpr std::uint32_t maxAnswersWithoutReference = 16;
 
@@ -54,7 +54,8 @@
     }
 }
 
-// When all targets of a model are cold, their answers agree with each other and say nothing about warm ones.
+// While all targets of a model are cold, their latencies resemble each other and give no reference for warm
+// ones.
 void slow_start_window::openWithoutReference(const attempt_measurement& measure)
 {
     double expected = std::max<double>(1, static_cast<double>(measure.expectedFirstToken.count()));
--- a/packages/core/src/plumfold_speed_model.cpp
+++ b/packages/core/src/plumfold_speed_model.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-// Fixed part of a first token: scheduling on the target and one decoding step.
+// Fixed part of the time to first token: scheduling on the target and one decoding step.
 constexpr double baseMilliseconds = 10;
-// A short prompt says little about the time per token.
+// Shorter prompts give no accurate time per token.
 constexpr std::uint32_t minTokensToLearn = 64;
-// The estimate follows fast answers quickly and slow ones hardly, so that cold targets do not spoil it.
+// EWMA weights. The estimate follows fast samples quickly and slow ones slowly, so that cold targets distort
+// it little.
 constexpr double weightOfFaster = 0.3;
 constexpr double weightOfSlower = 0.02;
 constexpr double weightOfHold = 0.1;
--- a/packages/core/src/plumfold_wait_predictor.cpp
+++ b/packages/core/src/plumfold_wait_predictor.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Time constant over which the rate of started work is measured.
+// Time constant of the rate's exponential decay.
 constexpr double rateSeconds = 5;
-constexpr double minRate = 1; // tokens a second
+constexpr double minRate = 1; // tokens per second
 constexpr milliseconds minBusyToPredict { 1000 };
-constexpr double meanWeight = 0.1;
+constexpr double meanWeight = 0.1; // of a new sample in the EWMA
 
 } // namespace
 
@@ -48,7 +48,7 @@
     decay(now);
     double measuredSeconds
         = rateSeconds * (1 - std::exp(-std::chrono::duration<double>(busy).count() / rateSeconds));
-    double rate = std::max(m_startedCost / measuredSeconds, minRate); // tokens a second
+    double rate = std::max(m_startedCost / measuredSeconds, minRate); // tokens per second
     return milliseconds(static_cast<std::int64_t>(1000.0 * static_cast<double>(waitingCost) / rate));
 }
 
--- a/tests/core/plumfold_admission_tests.cpp
+++ b/tests/core/plumfold_admission_tests.cpp
@@ -15,7 +15,7 @@
     return out;
 }
 
-/// One engine that takes a fixed time for each prompt, with more prompts than it can serve.
+/// Prompts that arrive at a fixed rate at one engine, which serves them in order in a fixed time each.
 struct overload_simulation {
     int inTime = 0;
     int refused = 0;
@@ -51,7 +51,7 @@
         CHECK_FALSE(gate.refusal(routeOf(600), priority, 20));
 }
 
-TEST_CASE("The least urgent are refused first and told when to come back", "[admission]")
+TEST_CASE("The least urgent prompts are rejected first, with a time to retry after", "[admission]")
 {
     admission gate;
     CHECK_FALSE(gate.refusal(routeOf(800), 0, 700));
@@ -60,7 +60,7 @@
     CHECK(*refusal >= milliseconds(1000));
 }
 
-TEST_CASE("Waits that were longer than predicted are learned", "[admission]")
+TEST_CASE("Admission corrects its predictions by the observed waits", "[admission]")
 {
     admission gate;
     REQUIRE_FALSE(gate.refusal(routeOf(800), 1, 400));
@@ -69,7 +69,8 @@
     CHECK(gate.refusal(routeOf(800), 1, 400));
 }
 
-TEST_CASE("At twice the capacity more callers are served in time than without refusals", "[admission]")
+TEST_CASE(
+    "At twice the capacity, more prompts are answered in time than without admission control", "[admission]")
 {
     constexpr double serviceMs = 20;
     overload_simulation without(false, 3000, serviceMs, serviceMs / 2);
