--- a/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
@@ -76,7 +76,7 @@
 struct release_permit_action {
     std::string owner;
     permit_id permit;
-    attempt_measure measure;
+    attempt_measurement measure;
 };
 /// Renew the leases of permits that another entry granted.
 struct renew_permits_action {
--- a/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
@@ -60,7 +60,7 @@
 
     /// Notes that a quorum of control VMs confirmed the configuration.
     void onConfigurationConfirmed(instant now) { m_view.confirmed(now); }
-    void onPeerState(const entry_peer_state& peer) { m_entries.onHeard(peer); }
+    void onPeerState(const entry_peer_state& peer) { m_entries.onPeerUpdate(peer); }
 
     /// Merges a suspect that another entry or control reported.
     void onSuspect(const suspect_state& state, instant now) { m_suspects.merge(state, now); }
@@ -79,7 +79,7 @@
 
     /// Grants or denies a permit to another entry; denied when this entry does not own the target.
     permit_answer acquireForPeer(const permit_request& request, instant now);
-    actions releaseForPeer(permit_id permit, const attempt_measure& measure, instant now);
+    actions releaseForPeer(permit_id permit, const attempt_measurement& measure, instant now);
     void renewForPeer(const std::string& holder, const std::vector<permit_id>& permits, instant now);
 
     const configuration_view& view() const { return m_view; }
--- a/packages/core/include/plumfold/core/plumfold_permit_ledger.hpp
+++ b/packages/core/include/plumfold/core/plumfold_permit_ledger.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "plumfold/core/plumfold_start_window.hpp"
+#include "plumfold/core/plumfold_slow_start_window.hpp"
 #include "plumfold/core/plumfold_target_report.hpp"
 
 #include <deque>
@@ -45,7 +45,7 @@
     /// Grants a permit, or denies it while the target is full or reserved for a request that must run alone.
     permit_answer acquire(const permit_request& request, instant now);
     /// Ends a permit and adjusts the target's limit to the measured attempt. Unknown permits are ignored.
-    void release(permit_id permit, const attempt_measure& measure);
+    void release(permit_id permit, const attempt_measurement& measure);
     /// Extends the leases of a holder's permits; permits of other holders are ignored.
     void renew(const std::string& holder, const std::vector<permit_id>& permits, instant now);
 
@@ -73,7 +73,7 @@
     };
     struct owned_target {
         std::uint64_t incarnation = 0;
-        start_window window { 1 };
+        slow_start_window window { 1 };
         instant reportedAt {};
         std::uint32_t inherited = 0; // requests running under a previous owner's permits
         instant inheritedUntil {};
--- /dev/null
+++ b/packages/core/include/plumfold/core/plumfold_target_selector.hpp
@@ -0,0 +1,243 @@
+#pragma once
+
+#include "plumfold/core/plumfold_deployment.hpp"
+#include "plumfold/core/plumfold_prompt_parts.hpp"
+#include "plumfold/core/plumfold_target_directory.hpp"
+
+#include <deque>
+#include <map>
+#include <optional>
+#include <set>
+#include <string>
+
+namespace plumfold::core {
+
+/// Work in progress that a target reported.
+struct target_load {
+    std::string target;
+    std::uint32_t running = 0;
+    std::uint32_t waiting = 0;
+    std::uint32_t usedTokens = 0; ///< KV cache in use that cannot be evicted.
+    milliseconds age { 0 }; ///< Since the target sent the report.
+    bool isBusy = false; ///< Executes an order and rejects requests that have not started.
+    auto operator<=>(const target_load&) const = default;
+};
+
+/// Properties of a request that the selection of its target depends on.
+struct placement_request {
+    std::string service;
+    std::uint64_t session = 0; ///< Requests with the same number share a prompt prefix; 0: none.
+    std::string model; ///< Empty for plain services.
+    std::uint64_t promptTokens = 0;
+    std::uint64_t sharedTokens = 0; ///< Prompt tokens shared with other requests of the conversation.
+    std::uint64_t outputTokens = 0; ///< Expected length of the output.
+    std::optional<std::string> storedIn; ///< Failure domain of a store with the shared part.
+    std::vector<std::string> holders; ///< Addresses of targets that hold the shared part.
+    std::set<std::string> excluded; ///< Targets that were already tried.
+    milliseconds timeLeft { 0 }; ///< Until the caller's deadline.
+};
+
+/// The target selected for one attempt.
+struct placement {
+    std::string target;
+    std::string address;
+    std::string weights; ///< Last known weight version of the target; empty for plain services.
+    std::string failureDomain;
+    double predictedMs = 0; ///< Predicted time to the first event; 0 for plain services.
+    double waitMs = 0; ///< Part of the prediction that is caused by other requests.
+    bool isHolder = false; ///< The target is listed as a holder of the shared part.
+    bool isTargetUnderLoad = false; ///< Other requests make the prediction uncertain.
+    bool operator==(const placement&) const = default;
+};
+
+/// Why no target was selected.
+enum class placement_failure : std::uint8_t {
+    no_target, ///< No usable target is known.
+    cold, ///< No usable target is left but cold ones that have reached their request rate.
+    full, ///< All are at their limit of concurrent requests.
+};
+
+/// The result of a target selection.
+struct placement_result {
+    std::optional<placement> chosen;
+    placement_failure reason = placement_failure::no_target; ///< Valid if nothing was chosen.
+    milliseconds retryAfter { 0 }; ///< Time after which a retry may succeed.
+};
+
+/// Result of an attempt, as evidence of the target's health.
+enum class attempt_result : std::uint8_t {
+    answered,
+    refused, ///< The target reported that it did not run the request.
+    not_reached, ///< The connection could not be established.
+    lost, ///< After the request was sent, the connection broke or the answer was unusable.
+    failed, ///< The target answered with an error.
+    abandoned, ///< The caller disconnected or the deadline passed.
+};
+
+/// Parameters of the prediction of a model engine's time to the first event.
+struct engine_latency_model {
+    double prefillTokensPerMs = 48; ///< Prefill rate, as specified by the users.
+    double localFetchTokensPerMs = 150; ///< Fetch rate from a store in the target's failure domain.
+    double remoteFetchTokensPerMs = 60; ///< Fetch rate from a store in a remote failure domain.
+    double waitingRequestMs = 150; ///< Delay by each request that waits on the target.
+    double unreportedRequestMs = 60; ///< Delay by each own request that is too recent for the report.
+    double runningRequestMs = 3; ///< Delay by each running request, which slows the steps of the batch.
+    double preemptionMemoryShare = 0.75; ///< Above this share of memory, running requests may be preempted.
+    double memoryOverflowMs = 4'000; ///< Delay per memory share in excess of it; 1 is the whole memory.
+};
+
+/// Settings of a target_selector.
+struct target_selector_options {
+    std::string failureDomain; ///< Of this entry; local targets are preferred.
+    double coldRateFactor = 1.0; ///< Applied to a service's cold request rate, which all entries share.
+    milliseconds initialBackoff { 400 }; ///< Back-off after a first failure; doubles with each further one.
+    milliseconds maxBackoff { 5'000 };
+    engine_latency_model latencyModel {};
+    /// A silent target stays usable for this long after its latest answer.
+    milliseconds maxAnswerAge { 2'000 };
+    milliseconds maxLoadAge { 1'500 }; ///< Older load reports are ignored.
+    /// How long requests may start on stale weights after the current version changed.
+    milliseconds staleWeightsGracePeriod { 6'000 };
+    /// Added to the predicted time of targets with stale weights.
+    double staleWeightsPenaltyMs = 150;
+};
+
+/// Tracks the targets known to one entry and selects one for each attempt. Performs no I/O and reads no
+/// clock.
+class target_selector {
+public:
+    explicit target_selector(target_selector_options options)
+        : m_options(std::move(options))
+    {
+    }
+
+    /// Applies announcements of targets.
+    /// @param isComplete whether they cover all targets; those that are missing count as leaving.
+    void applyAnnouncements(const std::vector<target_announcement>& targets, bool isComplete, instant now);
+
+    /// Excludes the targets of these failure domains; replaces the former set.
+    void setOutOfService(std::set<std::string> failureDomains) { m_outOfService = std::move(failureDomains); }
+    /// Sets the current weight version by model.
+    void setWeights(const std::map<std::string, std::uint64_t>& weights, instant now);
+    void setServices(const std::vector<service_limits>& services);
+    /// Applies load reports; those of unknown targets are ignored.
+    void applyLoads(const std::vector<target_load>& loads, instant now);
+    /// @param count entries that share the request rate of cold targets.
+    void setEntryCount(std::uint32_t count) { m_entries = count; }
+
+    /// Selects a target and records the start of an attempt on it. Each must be ended by onAttemptEnded().
+    placement_result choose(const placement_request& request, instant now);
+
+    /// Records the end of an attempt that choose() started.
+    /// @param tokens memory that was expected for the attempt, see expectedTokens().
+    void onAttemptEnded(const std::string& target, attempt_result result, std::uint64_t tokens, instant now);
+
+    /// @return the KV cache tokens that a request is expected to occupy when it ends.
+    static std::uint64_t expectedTokens(const placement_request& request)
+    {
+        return request.promptTokens + request.outputTokens;
+    }
+
+    /// Excludes a target for a short time, or until it announces other weights, after it rejected a request
+    /// because it has another weight version than last known.
+    void markWeightsUnconfirmed(const std::string& target, instant now);
+
+    /// @return the current weight version of a model. If none is set, that of any target with the model;
+    /// empty if there is none.
+    std::string currentWeightVersion(const std::string& model) const;
+
+    const engine_latency_model& latencyModel() const { return m_options.latencyModel; }
+
+    /// @param address ip:port
+    /// @return the engine at an address as a source of KV parts, or nothing if no responsive one is known.
+    std::optional<part_source> findSource(const std::string& address, instant now) const;
+
+    /// @return whether a target neither announces itself nor has recently answered this entry.
+    bool isSilent(const std::string& target, instant now) const;
+
+    std::size_t size() const { return m_targets.size(); }
+
+private:
+    struct tracked_target {
+        target_announcement last;
+        instant coldUntil {};
+        std::optional<instant> lastStartWhileCold; ///< Latest start of an attempt while it was cold.
+        instant backoffUntil {};
+        std::optional<instant> lastAnswerAt; ///< Latest answer to this entry.
+        milliseconds currentBackoff { 0 };
+        std::uint32_t inFlight = 0;
+        std::uint64_t inFlightTokens = 0;
+        std::optional<target_load> load; ///< Latest report.
+        instant loadAt {};
+        /// Recent own attempts that a load report may not include: start and expected tokens.
+        std::deque<std::pair<instant, std::uint64_t>> unreportedAttempts;
+        bool weightsUnconfirmed = false;
+        instant unconfirmedSince {};
+    };
+    struct current_weights {
+        std::string version;
+        instant currentSince {};
+    };
+
+    bool isResponsive(const tracked_target& target, instant now) const;
+    bool isUsable(const tracked_target& target, const placement_request& request, instant now) const;
+    bool hasCurrentWeights(const tracked_target& target, const std::string& model) const;
+    bool mayStartOnStaleWeights(const std::string& model, instant now) const;
+    milliseconds coldRequestInterval(const tracked_target& target) const;
+    tracked_target* selectTarget(
+        std::vector<tracked_target*>& candidates, const placement_request& request, instant now) const;
+    tracked_target* selectForSession(
+        std::vector<tracked_target*>& candidates, const placement_request& request, instant now) const;
+    double staleWeightsPenalty(const tracked_target& target, const placement_request& request) const;
+    double waitMs(const tracked_target& target, const placement_request& request, instant now) const;
+    static bool isHolder(const tracked_target& target, const placement_request& request);
+    double cacheMissMs(
+        const tracked_target& target, const placement_request& request, bool isPreferred) const;
+    double predictedMs(
+        const tracked_target& target, const placement_request& request, bool isPreferred, instant now) const;
+    placement startAttempt(tracked_target& target, const placement_request& request, instant now);
+    bool isUnderLoad(const tracked_target& target, instant now) const;
+    tracked_target* preferredTarget(
+        const std::vector<tracked_target*>& candidates, std::uint64_t session) const;
+
+    target_selector_options m_options;
+    std::map<std::string, tracked_target> m_targets;
+    std::set<std::string> m_outOfService;
+    std::map<std::string, current_weights> m_weights;
+    std::map<std::string, service_limits> m_services;
+    std::uint32_t m_entries = 1;
+};
+
+/// Limits the retries to each service within a sliding window: to a share of its requests plus this entry's
+/// part of a reserve that all entries have in common.
+class windowed_retry_budget {
+public:
+    /// @param share retries per request.
+    /// @param reserve additional retries per window, of all entries together.
+    windowed_retry_budget(double share, double reserve, milliseconds window)
+        : m_share(share)
+        , m_reserve(reserve)
+        , m_window(window)
+    {
+    }
+
+    void setEntryCount(std::uint32_t count) { m_entries = count; }
+    void onRequest(const std::string& service, instant now);
+    /// @return whether a retry may be sent; if so, it is counted.
+    bool tryTake(const std::string& service, instant now);
+
+private:
+    struct service_window {
+        std::deque<instant> requests;
+        std::deque<instant> retries;
+    };
+    void expire(service_window& window, instant now) const;
+
+    double m_share;
+    double m_reserve;
+    milliseconds m_window;
+    std::uint32_t m_entries = 1;
+    std::map<std::string, service_window> m_services;
+};
+
+} // namespace plumfold::core
--- /dev/null
+++ b/tests/core/plumfold_target_selector_tests.cpp
@@ -0,0 +1,212 @@
+#include "plumfold/core/plumfold_target_selector.hpp"
+
+#include <catch2/catch.hpp>
+
+using namespace plumfold::core;
+
+namespace {
+
+const instant start {};
+
+target_announcement engine(const std::string& name, const std::string& failureDomain = "a")
+{
+    target_announcement out;
+    out.name = name;
+    out.service = "pool";
+    out.address = "10.0.0.1:" + std::to_string(8000 + name.back());
+    out.failureDomain = failureDomain;
+    out.slots = 64;
+    out.models = { { "m", "1", {} } };
+    return out;
+}
+
+target_selector selectorOf(std::initializer_list<target_announcement> targets)
+{
+    target_selector_options options;
+    options.failureDomain = "a";
+    target_selector selector(options);
+    selector.applyAnnouncements(targets, true, start);
+    return selector;
+}
+
+placement_request requestOf(std::uint64_t session = 0)
+{
+    placement_request out;
+    out.service = "pool";
+    out.model = "m";
+    out.session = session;
+    return out;
+}
+
+} // namespace
+
+TEST_CASE("Requests of one conversation share a number whatever their own last part is", "[target_board]")
+{
+    CHECK(conversationOf({ { "system", 500 }, { "session", 8000 }, { "own", 200 } })
+        == conversationOf({ { "system", 500 }, { "session", 8000 }, { "other", 300 } }));
+    CHECK(conversationOf({ { "system", 500 }, { "session", 8000 }, { "own", 200 } })
+        != conversationOf({ { "system", 500 }, { "another", 8000 }, { "own", 200 } }));
+    CHECK(conversationOf({}) == 0);
+}
+
+TEST_CASE("All entries select the same target for a conversation", "[target_board]")
+{
+    auto first = selectorOf({ engine("t1"), engine("t2"), engine("t3") });
+    auto second = selectorOf({ engine("t3"), engine("t1"), engine("t2") });
+    for (std::uint64_t session = 1; session < 50; ++session)
+        CHECK(first.choose(requestOf(session), start).chosen->target
+            == second.choose(requestOf(session), start).chosen->target);
+}
+
+TEST_CASE("A conversation goes to the target that holds its shared part while that target is not under load",
+    "[target_board]")
+{
+    auto selector = selectorOf({ engine("t1"), engine("t2"), engine("t3") });
+    for (std::uint64_t session = 1; session < 30; ++session) {
+        auto request = requestOf(session);
+        request.promptTokens = 9'000;
+        request.sharedTokens = 8'000;
+        request.holders = { engine("t2").address };
+        auto answer = selector.choose(request, start);
+        CHECK(answer.chosen->target == "t2");
+        selector.onAttemptEnded(
+            "t2", attempt_result::answered, target_selector::expectedTokens(request), start);
+    }
+}
+
+TEST_CASE(
+    "A stored conversation goes to an engine in its store's failure domain until that engine is under load",
+    "[target_board]")
+{
+    auto selector = selectorOf({ engine("t1", "a"), engine("t2", "b") });
+    auto request = requestOf(7);
+    request.promptTokens = 9'000;
+    request.sharedTokens = 8'000;
+    request.storedIn = "b";
+    CHECK(selector.choose(request, start).chosen->target == "t2");
+    selector.applyLoads({ { "t2", 20, 3, 80'000, {} } }, start);
+    CHECK(selector.choose(request, start).chosen->target == "t1");
+}
+
+TEST_CASE("While a new weight version is being loaded, the first engines with it are not overloaded",
+    "[target_board]")
+{
+    constexpr int engines = 6;
+    constexpr int requests = 60;
+    std::vector<target_announcement> targets;
+    for (int number = 0; number < engines; ++number)
+        targets.push_back(engine("t" + std::to_string(number)));
+    targets[0].models = { { "m", "2", {} } };
+    auto selector = selectorOf({});
+    selector.applyAnnouncements(targets, true, start);
+    selector.setWeights({ { "m", 2 } }, start);
+    std::vector<target_load> idle;
+    for (const auto& each : targets)
+        idle.push_back({ each.name });
+    selector.applyLoads(idle, start);
+    std::map<std::string, int> sent;
+    for (int number = 0; number < requests; ++number) {
+        auto request = requestOf(static_cast<std::uint64_t>(number) + 1);
+        request.promptTokens = 2'000;
+        ++sent[selector.choose(request, start).chosen->target];
+    }
+    CHECK(sent["t0"] > requests / engines); // preferred
+    CHECK(sent["t0"] < requests / 2);
+    // After the grace period no request starts on stale weights.
+    auto later = start + milliseconds(6'100);
+    for (int number = 0; number < requests; ++number)
+        CHECK(
+            selector.choose(requestOf(static_cast<std::uint64_t>(number) + 1), later).chosen->target == "t0");
+}
+
+TEST_CASE(
+    "A target that executes an order gets no request until it reports that it has finished", "[target_board]")
+{
+    auto selector = selectorOf({ engine("t1"), engine("t2") });
+    selector.applyLoads({ { "t1", 0, 0, 0, {}, true }, { "t2", 9, 2, 60'000, {}, false } }, start);
+    CHECK(selector.choose(requestOf(7), start).chosen->target == "t2");
+    selector.applyLoads({ { "t1", 0, 0, 0, {}, false } }, start);
+    CHECK(selector.choose(requestOf(7), start).chosen->target == "t1");
+}
+
+TEST_CASE("Only responsive engines are sources of KV parts", "[target_board]")
+{
+    auto selector = selectorOf({ engine("t1") });
+    service_limits pool;
+    pool.name = "pool";
+    CHECK_FALSE(selector.findSource(engine("t1").address, start)); // the service has no engines
+    pool.engine = engine_limits { 64, 93'000, 18'432, 740'000 };
+    selector.setServices({ pool });
+    REQUIRE(selector.findSource(engine("t1").address, start));
+    CHECK(selector.findSource(engine("t1").address, start)->linkMegabitsPerSecond == 740'000);
+    selector.onAttemptEnded("t1", attempt_result::lost, 0, start);
+    CHECK_FALSE(selector.findSource(engine("t1").address, start));
+    CHECK_FALSE(selector.findSource("10.9.9.9:80", start));
+}
+
+TEST_CASE("Leaving targets and failure domains out of service receive no requests", "[target_board]")
+{
+    auto selector = selectorOf({ engine("t1"), engine("t2", "b") });
+    auto leaving = engine("t1");
+    leaving.state = target_state::leaving;
+    selector.applyAnnouncements({ leaving }, false, start);
+    CHECK(selector.choose(requestOf(), start).chosen->target == "t2");
+    selector.setOutOfService({ "b" });
+    CHECK_FALSE(selector.choose(requestOf(), start).chosen);
+}
+
+TEST_CASE("A target that could not be reached gets no requests during its back-off", "[target_board]")
+{
+    auto selector = selectorOf({ engine("t1") });
+    REQUIRE(selector.choose(requestOf(), start).chosen);
+    selector.onAttemptEnded("t1", attempt_result::not_reached, 0, start);
+    CHECK_FALSE(selector.choose(requestOf(), start + milliseconds(100)).chosen);
+    CHECK(selector.choose(requestOf(), start + milliseconds(1000)).chosen);
+}
+
+TEST_CASE("All entries together stay within the request rate of a cold target", "[target_board]")
+{
+    constexpr std::uint32_t entries = 9;
+    constexpr double coldRate = 9;
+    auto cold = engine("t1");
+    cold.coldFor = milliseconds(3000);
+    service_limits limits;
+    limits.name = "pool";
+    limits.coldRequestsPerSecond = coldRate;
+    auto selector = selectorOf({ cold });
+    selector.setServices({ limits });
+    selector.setEntryCount(entries);
+    int started = 0;
+    for (int ms = 0; ms < 1000; ++ms)
+        started += selector.choose(requestOf(), start + milliseconds(ms)).chosen.has_value();
+    CHECK(started * entries <= coldRate);
+    CHECK(started > 0);
+    CHECK(selector.choose(requestOf(), start + milliseconds(4000)).chosen);
+}
+
+TEST_CASE("Requests start on stale weights only within the grace period after a new version becomes current",
+    "[target_board]")
+{
+    auto selector = selectorOf({ engine("t1") });
+    selector.setWeights({ { "m", 2 } }, start);
+    CHECK(selector.choose(requestOf(), start + milliseconds(1000)).chosen->weights == "1");
+    CHECK_FALSE(selector.choose(requestOf(), start + milliseconds(7000)).chosen);
+    auto loaded = engine("t2");
+    loaded.models = { { "m", "2", {} } };
+    selector.applyAnnouncements({ loaded }, false, start);
+    CHECK(selector.choose(requestOf(), start + milliseconds(1000)).chosen->target == "t2");
+}
+
+TEST_CASE("Retries stay within the share of requests and the entry's part of the reserve", "[target_board]")
+{
+    windowed_retry_budget budget(0.2, 58, milliseconds(10'000));
+    budget.setEntryCount(9);
+    for (int count = 0; count < 100; ++count)
+        budget.onRequest("pool", start);
+    int taken = 0;
+    while (budget.tryTake("pool", start))
+        ++taken;
+    CHECK(taken == 26); // 0.2 of 100 requests and a ninth of 58
+    CHECK_FALSE(budget.tryTake("pool", start + milliseconds(9'000)));
+    CHECK(budget.tryTake("pool", start + milliseconds(10'500)));
+}
