--- a/tests/forwarding/plumfold_forwarding_tests.cpp
+++ b/tests/forwarding/plumfold_forwarding_tests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Three control VMs, an entry and two targets that serve.
+/// Three control VMs, an entry and two targets, ready to serve requests.
 class serving_system : public forwarding_system {
 public:
     serving_system()
@@ -41,7 +41,7 @@
         return *m_started[name];
     }
 
-    /// Keeps both targets announced while something runs.
+    /// Repeats the announcements of both targets, which would expire otherwise.
     void announceTargets()
     {
         announce("t1");
@@ -54,27 +54,27 @@
 
 } // namespace
 
-TEST_CASE_METHOD(
-    serving_system, "What callers send with unclear framing is refused and never forwarded", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "Requests with ambiguous framing or beyond the limits are rejected and never forwarded", "[forwarding]")
 {
     auto before = totalRequests();
     auto id = nextId();
     std::string bytes;
     std::string start = "POST /shop/whole HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: " + id
         + "\r\nApi-Key: key-1\r\nRequest-Deadline: 2000\r\n";
-    SECTION("two lengths")
+    SECTION("two Content-Length headers")
     {
         bytes = start + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcde";
     }
-    SECTION("a length and chunks")
+    SECTION("Content-Length and chunked")
     {
         bytes = start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n";
     }
-    SECTION("another transfer coding")
+    SECTION("a transfer coding other than chunked")
     {
         bytes = start + "Transfer-Encoding: identity\r\n\r\nabcd";
     }
-    SECTION("a coding that hides chunks")
+    SECTION("an unknown coding with a chunked body")
     {
         bytes = start + "Transfer-Encoding: xchunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n";
     }
@@ -82,15 +82,15 @@
     {
         bytes = "POST /shop/whole HTTP/1.1\nHost: shop.example\n\n";
     }
-    SECTION("a chunk size that is no number")
+    SECTION("an invalid chunk size")
     {
         bytes = start + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabcd\r\n0\r\n\r\n";
     }
-    SECTION("a body beyond the limit")
+    SECTION("a Content-Length beyond the limit")
     {
         bytes = start + "Content-Length: 20000\r\n\r\n";
     }
-    SECTION("chunks beyond the limit")
+    SECTION("a chunked body beyond the limit")
     {
         bytes = start + "Transfer-Encoding: chunked\r\n\r\n4e20\r\n" + std::string(20000, 'x')
             + "\r\n0\r\n\r\n";
@@ -99,7 +99,7 @@
     {
         bytes = start + "Filler: " + std::string(6000, 'x') + "\r\n\r\n";
     }
-    SECTION("two hosts")
+    SECTION("two Host headers")
     {
         bytes = start + "Host: other.example\r\nContent-Length: 0\r\n\r\n";
     }
@@ -109,11 +109,11 @@
     CHECK(response.status >= 400);
     CHECK(response.status < 500);
     CHECK(totalRequests() == before);
-    CHECK(request(1, "/shop/whole").status == 200); // others are unaffected
+    CHECK(request(1, "/shop/whole").status == 200); // other callers are unaffected
 }
 
-TEST_CASE_METHOD(
-    serving_system, "A header that never ends is answered after the limit's time", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "A request with incomplete headers is answered with 408 after the header timeout", "[forwarding]")
 {
     raw_caller caller(callerAddress(1));
     caller.send("POST /shop/whole HTTP/1.1\r\nHost: shop.example\r\n");
@@ -122,7 +122,8 @@
     CHECK(caller.isClosedWithin(1500));
 }
 
-TEST_CASE_METHOD(serving_system, "A request inside another's body stays a body", "[forwarding]")
+TEST_CASE_METHOD(
+    serving_system, "A request inside the body of another one is not smuggled to a target", "[forwarding]")
 {
     auto inner = requestBytes("/shop/whole", "smuggled", "");
     CHECK(request(1, "/shop/whole", inner).body == "served " + inner);
@@ -132,8 +133,9 @@
     }
 }
 
-TEST_CASE_METHOD(
-    serving_system, "Requests on one connection are served one after another, also in chunks", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "Keep-alive and pipelined requests on one connection are served in order, also chunked ones",
+    "[forwarding]")
 {
     raw_caller caller(callerAddress(1));
     caller.send(requestBytes("/shop/whole", nextId(), "one"));
@@ -146,22 +148,24 @@
     CHECK(caller.receive().body == "served 4");
 }
 
-TEST_CASE_METHOD(
-    serving_system, "An answer that is not the target's whole own one is no success", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "A truncated, malformed, unsigned or missing response is a 502 and is not retried", "[forwarding]")
 {
     for (const char* behaviour : { "cut", "spoiled", "unsigned", "drop" }) {
         auto before = totalRequests();
         auto response = request(1, std::string("/shop/") + behaviour);
         INFO(behaviour);
         CHECK(response.status == 502);
-        CHECK(totalRequests() == before + 1); // it may have run, so it is not sent again
-        std::this_thread::sleep_for(std::chrono::milliseconds(900)); // until the target is trusted again
+        CHECK(totalRequests() == before + 1); // it may have been executed, so it is not retried
+        std::this_thread::sleep_for(std::chrono::milliseconds(900)); // until the back-off of the target ends
         announceTargets();
     }
 }
 
 TEST_CASE_METHOD(serving_system,
-    "Whole answers pass with surplus bytes, without a length and after another's answer", "[forwarding]")
+    "Complete responses are forwarded despite trailing bytes, missing lengths and mismatched or interim "
+    "responses",
+    "[forwarding]")
 {
     for (const char* behaviour : { "surplus", "after-another", "interim", "whole", "surplus", "whole" }) {
         INFO(behaviour);
@@ -174,8 +178,9 @@
     CHECK(response.body == "until the end");
 }
 
-TEST_CASE_METHOD(
-    serving_system, "A refusal without execution is told as such, another 503 is not", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "A 503 is forwarded as retryable only if the target declares that it did not execute the request",
+    "[forwarding]")
 {
     auto refused = request(1, "/shop/not-run");
     CHECK(refused.status == 503);
@@ -185,15 +190,17 @@
     CHECK(failed.headers.find("response-signature") == std::string::npos);
 }
 
-TEST_CASE_METHOD(
-    serving_system, "What is idempotent goes to another target, nothing to more than allowed", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "An idempotent request is retried on another target, up to the maximum number of attempts",
+    "[forwarding]")
 {
     auto before = totalRequests();
     CHECK(request(1, "/stock/drop").status == 502);
     CHECK(totalRequests() == before + 2);
 }
 
-TEST_CASE_METHOD(serving_system, "When the caller leaves, the target's connection is closed", "[forwarding]")
+TEST_CASE_METHOD(
+    serving_system, "The connection to the target is closed when the caller disconnects", "[forwarding]")
 {
     raw_caller caller(callerAddress(1));
     caller.send(requestBytes("/shop/never", nextId(), "order"));
@@ -204,7 +211,8 @@
     CHECK(target("t1").abandoned() + target("t2").abandoned() == 1);
 }
 
-TEST_CASE_METHOD(serving_system, "A request that no target answers is ended at its deadline", "[forwarding]")
+TEST_CASE_METHOD(
+    serving_system, "A request that no target responds to ends with 504 at its deadline", "[forwarding]")
 {
     auto began = std::chrono::steady_clock::now();
     CHECK(request(1, "/shop/never").status == 504);
@@ -214,7 +222,7 @@
 }
 
 TEST_CASE_METHOD(
-    serving_system, "A stream goes on at another target after its last whole event", "[forwarding]")
+    serving_system, "A stream is resumed on another target after its last complete event", "[forwarding]")
 {
     const std::string all = "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\nid: 3\ndata: e3\n\nid: 4\ndata: e4\n\n"
                             "id: 5\ndata: e5\n\nid: 6\ndata: e6\n\n";
@@ -226,8 +234,8 @@
     CHECK(continued.isComplete);
 }
 
-TEST_CASE_METHOD(
-    serving_system, "An answer bears the signature of the run that it comes from only", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "A retried stream carries only the signature of the attempt that delivered it", "[forwarding]")
 {
     auto response = request(1, "/words/head-cut");
     CHECK(response.status == 200);
@@ -238,8 +246,7 @@
     CHECK(response.body.find("id: 1\ndata: e1") == 0);
 }
 
-TEST_CASE_METHOD(
-    serving_system, "Headers that only the system may set are never the caller's", "[forwarding]")
+TEST_CASE_METHOD(serving_system, "Reserved headers are never taken from the caller", "[forwarding]")
 {
     std::map<std::string, std::string> forged { { "Tenant", "other" }, { "Hold", "h" }, { "Pin-Ms", "9" },
         { "Kv-From", "x" }, { "Kv-Backup", "x" }, { "Kv-Fetch-From", "x" }, { "Cache-Salt", "x" },
@@ -264,7 +271,7 @@
 }
 
 TEST_CASE_METHOD(
-    serving_system, "A stopping entry answers what it has read and takes no new callers", "[forwarding]")
+    serving_system, "A draining entry completes requests in progress and is no longer ready", "[forwarding]")
 {
     std::vector<std::future<raw_response>> answers;
     raw_caller idle(callerAddress(1));
@@ -286,7 +293,7 @@
 }
 
 TEST_CASE_METHOD(
-    serving_system, "SIGHUP takes other control VMs to start from and ends nothing", "[forwarding]")
+    serving_system, "SIGHUP reloads the control seeds without interrupting service", "[forwarding]")
 {
     rewriteSeeds("n1", { 2, 3 });
     process("n1").signal(SIGHUP);
@@ -298,7 +305,9 @@
 }
 
 TEST_CASE_METHOD(serving_system,
-    "Changes are in force on entries at once and a taken out failure domain gets nothing", "[forwarding]")
+    "Deployment changes reach entries within two seconds, and a failure domain out of service gets no "
+    "requests",
+    "[forwarding]")
 {
     auto next = deployment(7);
     next["tenants"][0]["api-keys"] = { "key-2" };
@@ -327,12 +336,13 @@
         2));
 }
 
-TEST_CASE_METHOD(serving_system, "Requests are served while nobody reads standard output", "[forwarding]")
+TEST_CASE_METHOD(
+    serving_system, "Requests are served while the pipe of standard output is full", "[forwarding]")
 {
     blockOutput("n2");
     startEntry(2);
     waitForTarget(2);
-    constexpr int requests = 600; // their lines are more than a pipe holds
+    constexpr int requests = 600; // their log lines exceed the capacity of a pipe
     raw_caller caller(callerAddress(2));
     int served = 0;
     for (int count = 0; count < requests; ++count) {
@@ -344,7 +354,8 @@
     CHECK(served == requests);
 }
 
-TEST_CASE("A control VM that lost its disk is taken back by a leader that it does not know", "[forwarding]")
+TEST_CASE(
+    "A control VM that lost its disk rejoins under a leader that is not among its seeds", "[forwarding]")
 {
     forwarding_system system;
     constexpr int nonSeed = 4; // not among the seeds
@@ -356,7 +367,7 @@
         auto role = log.rfind("event=role_changed role=");
         return role != std::string::npos && log.compare(role, 30, "event=role_changed role=leader") == 0;
     };
-    // The lead is handed over until the nonSeed has it.
+    // Restarts leaders until the control VM outside the seeds is the leader.
     for (int tries = 0; tries < 20 && !isLeader(nonSeed); ++tries) {
         for (int number = 1; number < nonSeed; ++number) {
             if (!isLeader(number))
@@ -375,7 +386,7 @@
     CHECK(system.putDeployment(1, system.deployment(6)));
 }
 
-TEST_CASE("Control forms itself from its seeds, whatever the order of start, and keeps what it accepted",
+TEST_CASE("Control VMs form a group from their seeds in any start order and keep accepted configurations",
     "[forwarding]")
 {
     forwarding_system system;
@@ -399,7 +410,7 @@
     for (int number = 1; number <= 3; ++number)
         system.process("c" + std::to_string(number)).kill();
     system.startControl(1, false);
-    CHECK(system.call(1, "GET", "/configuration").first != 200); // one of three cannot be sure
+    CHECK(system.call(1, "GET", "/configuration").first != 200); // one of three is no quorum
     system.startControl(2, false);
     CHECK(
         forwarding_system::eventually([&] { return system.call(1, "GET", "/configuration").first == 200; }));
@@ -407,7 +418,8 @@
 }
 
 TEST_CASE_METHOD(serving_system,
-    "A request that reaches an entry just before its first deployment is served, not refused", "[forwarding]")
+    "A request that arrives just before an entry's first deployment is served and not rejected",
+    "[forwarding]")
 {
     for (int number = 1; number <= 3; ++number)
         process("c" + std::to_string(number)).signal(SIGSTOP);
@@ -418,7 +430,7 @@
             raw_caller caller(callerAddress(2));
             return true;
         } catch (const Poco::Exception&) {
-            return false; // the entry does not listen yet
+            return false; // the entry is not listening yet
         }
     }));
     auto pending = std::async(std::launch::async, [&] { return request(2, "/shop/whole"); });
@@ -428,11 +440,10 @@
     CHECK(pending.get().status == 200);
 }
 
-TEST_CASE(
-    "A request to an entry that gets no deployment is refused and told when to come back", "[forwarding]")
+TEST_CASE("An entry without a deployment rejects requests with a Retry-After header", "[forwarding]")
 {
     forwarding_system system;
-    system.startEntry(1); // without any control VM
+    system.startEntry(1); // no control VM is running
     raw_response response;
     REQUIRE(forwarding_system::eventually([&] {
         auto began = std::chrono::steady_clock::now();
--- a/tests/forwarding/support/plumfold_forwarding_system.cpp
+++ b/tests/forwarding/support/plumfold_forwarding_system.cpp
@@ -116,7 +116,7 @@
 
 forwarding_system::forwarding_system()
 {
-    // The process id makes the addresses of test runs at the same time differ.
+    // The process id keeps the addresses of concurrent test runs apart.
     auto id = static_cast<unsigned>(::getpid());
     m_network = "127." + std::to_string(1 + id / 250 % 250) + '.' + std::to_string(1 + id % 250);
     std::string folderTemplate = (std::filesystem::temp_directory_path() / "plumfold-test-XXXXXX").string();
--- a/tests/forwarding/support/plumfold_forwarding_system.hpp
+++ b/tests/forwarding/support/plumfold_forwarding_system.hpp
@@ -17,21 +17,21 @@
 
 namespace plumfold::tests {
 
-/// What a caller got on one connection.
+/// A response as a caller received it.
 struct raw_response {
-    int status = 0; ///< 0: the connection ended without an answer.
-    std::string headers; ///< Lower case.
-    std::string body; ///< With chunks joined.
-    bool isComplete = false; ///< The answer's framing was completed.
+    int status = 0; ///< 0: the connection was closed without a response.
+    std::string headers; ///< Status line and headers in lower case.
+    std::string body; ///< Without chunk framing.
+    bool isComplete = false; ///< The whole body was received.
 };
 
-/// A connection of a caller that sends any bytes.
+/// A caller's connection that can send arbitrary bytes.
 class raw_caller {
 public:
     explicit raw_caller(const std::string& address);
     void send(const std::string& bytes);
     raw_response receive();
-    /// @return whether the other side closes the connection within the time.
+    /// @return whether the peer closes the connection within the time.
     bool isClosedWithin(int milliseconds);
     void close();
 
@@ -43,7 +43,7 @@
     std::string m_buffer;
 };
 
-/// Control VMs, entries and scripted targets on loopback, each VM with an IP number of its own.
+/// Control VMs, entries and scripted targets on loopback. Each has an IP address of its own.
 class forwarding_system {
 public:
     forwarding_system();
@@ -51,19 +51,19 @@
 
     void startControl(int number, bool firstStart = true);
     void startEntry(int number);
-    /// Makes the standard output of a process that starts later a pipe that nobody reads.
+    /// Connects the standard output of a process that is started later to a pipe that is never read.
     void blockOutput(const std::string& name);
     scripted_target& startTarget(const std::string& name, const std::string& service = "shop");
 
-    /// Calls a control VM as the platform does.
-    /// @return status and body; status 0 without an answer.
+    /// Calls the platform interface of a control VM.
+    /// @return HTTP status and body; status 0 when there was no response.
     std::pair<int, std::string> call(
         int control, const std::string& method, const std::string& path, const std::string& body = {});
     void announce(const std::string& target, const std::string& state = "ready");
-    /// Announces all targets again until the system ends, as real ones do.
+    /// Announces all targets periodically until destruction, as real targets do.
     void startAnnouncing();
 
-    /// @return the configuration that the tests use, under a version.
+    /// @return the configuration of the tests with the given version.
     nlohmann::json deployment(int version) const;
     bool putDeployment(int control, const nlohmann::json& body);
     bool isReady(int entry);
--- a/tests/forwarding/support/plumfold_scripted_target.cpp
+++ b/tests/forwarding/support/plumfold_scripted_target.cpp
@@ -19,7 +19,7 @@
 /// One request on one connection.
 struct scripted_target::exchange {
     Poco::Net::StreamSocket socket;
-    std::string buffer; // read and not used yet
+    std::string buffer; // received but not yet parsed
     recorded_request request;
     bool keepAlive = true;
 
@@ -252,7 +252,7 @@
     current.keepAlive = false;
 }
 
-/// The first request gets a head and a piece of an event, later ones the whole stream.
+/// Every odd request gets the headers and part of an event, every even one the whole stream.
 void scripted_target::streamCutAfterHead(exchange& current)
 {
     static std::atomic<int> calls { 0 };
--- a/tests/forwarding/support/plumfold_scripted_target.hpp
+++ b/tests/forwarding/support/plumfold_scripted_target.hpp
@@ -11,15 +11,15 @@
 
 namespace plumfold::tests {
 
-/// A request as a target saw it.
+/// A request as a target received it.
 struct recorded_request {
     std::string path;
     std::map<std::string, std::string> headers; ///< Names in lower case.
     std::string body;
 };
 
-/// A stand-in for a target of the platform. The last word of a request's path says how it behaves; see the
-/// table in the source.
+/// A fake target of the platform. The last segment of a request's path selects its behaviour; see the table
+/// in serve().
 class scripted_target {
 public:
     /// @param address ip:port
@@ -30,7 +30,7 @@
     const std::string& address() const { return m_address; }
 
     std::vector<recorded_request> requests() const;
-    /// @return connections that were closed by the entry while a request was being served.
+    /// @return number of connections that the entry closed while a request was being served.
     int abandoned() const { return m_abandoned; }
 
 private:
