--- a/packages/forwarding/src/plumfold_caller_connection.hpp
+++ b/packages/forwarding/src/plumfold_caller_connection.hpp
@@ -7,7 +7,7 @@
 
 namespace plumfold::forwarding {
 
-/// One connection of a caller: reads its requests one after another and has each forwarded.
+/// A connection of a caller. Reads its requests one at a time and forwards each.
 class caller_connection : public std::enable_shared_from_this<caller_connection> {
 public:
     caller_connection(forwarding_state& state, asio::ip::tcp::socket socket);
@@ -15,16 +15,16 @@
     caller_connection(const caller_connection&) = delete;
     caller_connection& operator=(const caller_connection&) = delete;
 
-    /// Serves the connection to its end.
+    /// Serves requests until the connection is closed.
     task<void> run();
 
-    /// Closes the connection unless a request is being served.
+    /// Closes the connection unless it is serving a request.
     void closeIfIdle();
 
-    /// Watches for the caller's leaving while a request is served.
-    /// @param onGone called once when the caller has closed the connection.
-    void watch(std::function<void()> onGone);
-    void stopWatching();
+    /// Watches for a disconnect of the caller while its request is being served.
+    /// @param onDisconnect called at most once, when the caller closes the connection.
+    void watchForDisconnect(std::function<void()> onDisconnect);
+    void stopWatchingForDisconnect();
 
     beast::tcp_stream& stream() { return m_stream; }
 
@@ -33,18 +33,18 @@
 
     task<bool> waitForRequest();
     task<bool> readRequest(request_parser& parser);
-    void limitRead(core::milliseconds time);
-    task<void> refuseMalformed(const error_code& error, const request_parser& parser);
-    task<void> linger();
+    void startReadTimer(core::milliseconds time);
+    task<void> rejectMalformed(const error_code& error, const request_parser& parser);
+    task<void> lingeringClose();
 
     forwarding_state& m_state;
     beast::tcp_stream m_stream;
     beast::flat_buffer m_buffer;
-    std::function<void()> m_onGone;
-    asio::steady_timer m_readTimer; // the stream's own timeout would close it before an answer can be sent
+    std::function<void()> m_onDisconnect;
+    asio::steady_timer m_readTimer; // the stream's own timeout would close it before a 408 can be sent
     bool m_readTimedOut = false;
-    std::uint64_t m_watchRound = 0;
-    bool m_busy = false;
+    std::uint64_t m_watchId = 0;
+    bool m_isServing = false;
 };
 
 } // namespace plumfold::forwarding
--- a/tests/forwarding/plumfold_forwarding_tests.cpp
+++ b/tests/forwarding/plumfold_forwarding_tests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Three control VMs, an entry and two targets that serve.
+/// Three control VMs, an entry and two targets, ready to serve requests.
 class serving_system : public forwarding_system {
 public:
     serving_system()
@@ -33,7 +33,7 @@
 
     scripted_target& target(const std::string& name) { return *m_started.at(name); }
     std::size_t requestsTo(const std::string& name) { return target(name).requests().size(); }
-    std::size_t allRequests() { return requestsTo("t1") + requestsTo("t2"); }
+    std::size_t totalRequests() { return requestsTo("t1") + requestsTo("t2"); }
 
     scripted_target& startTarget(const std::string& name)
     {
@@ -41,8 +41,8 @@
         return *m_started[name];
     }
 
-    /// Keeps both targets announced while something runs.
-    void keepAnnounced()
+    /// Repeats the announcements of both targets, which would expire otherwise.
+    void announceTargets()
     {
         announce("t1");
         announce("t2");
@@ -54,27 +54,27 @@
 
 } // namespace
 
-TEST_CASE_METHOD(
-    serving_system, "What callers send with unclear framing is refused and never forwarded", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "Requests with ambiguous framing or beyond the limits are rejected and never forwarded", "[forwarding]")
 {
-    auto before = allRequests();
+    auto before = totalRequests();
     auto id = nextId();
     std::string bytes;
     std::string start = "POST /shop/whole HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: " + id
         + "\r\nApi-Key: key-1\r\nRequest-Deadline: 2000\r\n";
-    SECTION("two lengths")
+    SECTION("two Content-Length headers")
     {
         bytes = start + "Content-Length: 4\r\nContent-Length: 5\r\n\r\nabcde";
     }
-    SECTION("a length and chunks")
+    SECTION("Content-Length and chunked")
     {
         bytes = start + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n";
     }
-    SECTION("another transfer coding")
+    SECTION("a transfer coding other than chunked")
     {
         bytes = start + "Transfer-Encoding: identity\r\n\r\nabcd";
     }
-    SECTION("a coding that hides chunks")
+    SECTION("an unknown coding with a chunked body")
     {
         bytes = start + "Transfer-Encoding: xchunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n";
     }
@@ -82,15 +82,15 @@
     {
         bytes = "POST /shop/whole HTTP/1.1\nHost: shop.example\n\n";
     }
-    SECTION("a chunk size that is no number")
+    SECTION("an invalid chunk size")
     {
         bytes = start + "Transfer-Encoding: chunked\r\n\r\nzz\r\nabcd\r\n0\r\n\r\n";
     }
-    SECTION("a body beyond the limit")
+    SECTION("a Content-Length beyond the limit")
     {
         bytes = start + "Content-Length: 20000\r\n\r\n";
     }
-    SECTION("chunks beyond the limit")
+    SECTION("a chunked body beyond the limit")
     {
         bytes = start + "Transfer-Encoding: chunked\r\n\r\n4e20\r\n" + std::string(20000, 'x')
             + "\r\n0\r\n\r\n";
@@ -99,30 +99,31 @@
     {
         bytes = start + "Filler: " + std::string(6000, 'x') + "\r\n\r\n";
     }
-    SECTION("two hosts")
+    SECTION("two Host headers")
     {
         bytes = start + "Host: other.example\r\nContent-Length: 0\r\n\r\n";
     }
     raw_caller caller(callerAddress(1));
     caller.send(bytes);
-    auto answer = caller.receive();
-    CHECK(answer.status >= 400);
-    CHECK(answer.status < 500);
-    CHECK(allRequests() == before);
-    CHECK(request(1, "/shop/whole").status == 200); // others are unaffected
+    auto response = caller.receive();
+    CHECK(response.status >= 400);
+    CHECK(response.status < 500);
+    CHECK(totalRequests() == before);
+    CHECK(request(1, "/shop/whole").status == 200); // other callers are unaffected
 }
 
-TEST_CASE_METHOD(
-    serving_system, "A header that never ends is answered after the limit's time", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "A request with incomplete headers is answered with 408 after the header timeout", "[forwarding]")
 {
     raw_caller caller(callerAddress(1));
     caller.send("POST /shop/whole HTTP/1.1\r\nHost: shop.example\r\n");
-    auto answer = caller.receive();
-    CHECK(answer.status == 408);
+    auto response = caller.receive();
+    CHECK(response.status == 408);
     CHECK(caller.isClosedWithin(1500));
 }
 
-TEST_CASE_METHOD(serving_system, "A request inside another's body stays a body", "[forwarding]")
+TEST_CASE_METHOD(
+    serving_system, "A request inside the body of another one is not smuggled to a target", "[forwarding]")
 {
     auto inner = requestBytes("/shop/whole", "smuggled", "");
     CHECK(request(1, "/shop/whole", inner).body == "served " + inner);
@@ -132,8 +133,9 @@
     }
 }
 
-TEST_CASE_METHOD(
-    serving_system, "Requests on one connection are served one after another, also in chunks", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "Keep-alive and pipelined requests on one connection are served in order, also chunked ones",
+    "[forwarding]")
 {
     raw_caller caller(callerAddress(1));
     caller.send(requestBytes("/shop/whole", nextId(), "one"));
@@ -146,36 +148,39 @@
     CHECK(caller.receive().body == "served 4");
 }
 
-TEST_CASE_METHOD(
-    serving_system, "An answer that is not the target's whole own one is no success", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "A truncated, malformed, unsigned or missing response is a 502 and is not retried", "[forwarding]")
 {
-    for (const char* way : { "cut", "spoiled", "unsigned", "drop" }) {
-        auto before = allRequests();
-        auto answer = request(1, std::string("/shop/") + way);
-        INFO(way);
-        CHECK(answer.status == 502);
-        CHECK(allRequests() == before + 1); // it may have run, so it is not sent again
-        std::this_thread::sleep_for(std::chrono::milliseconds(900)); // until the target is trusted again
-        keepAnnounced();
+    for (const char* behaviour : { "cut", "spoiled", "unsigned", "drop" }) {
+        auto before = totalRequests();
+        auto response = request(1, std::string("/shop/") + behaviour);
+        INFO(behaviour);
+        CHECK(response.status == 502);
+        CHECK(totalRequests() == before + 1); // it may have been executed, so it is not retried
+        std::this_thread::sleep_for(std::chrono::milliseconds(900)); // until the back-off of the target ends
+        announceTargets();
     }
 }
 
 TEST_CASE_METHOD(serving_system,
-    "Whole answers pass with surplus bytes, without a length and after another's answer", "[forwarding]")
+    "Complete responses are forwarded despite trailing bytes, missing lengths and mismatched or interim "
+    "responses",
+    "[forwarding]")
 {
-    for (const char* way : { "surplus", "after-another", "interim", "whole", "surplus", "whole" }) {
-        INFO(way);
-        auto answer = request(1, std::string("/shop/") + way);
-        CHECK(answer.status == 200);
-        CHECK(answer.body == "served order");
+    for (const char* behaviour : { "surplus", "after-another", "interim", "whole", "surplus", "whole" }) {
+        INFO(behaviour);
+        auto response = request(1, std::string("/shop/") + behaviour);
+        CHECK(response.status == 200);
+        CHECK(response.body == "served order");
     }
-    auto answer = request(1, "/shop/unframed");
-    CHECK(answer.status == 200);
-    CHECK(answer.body == "until the end");
+    auto response = request(1, "/shop/unframed");
+    CHECK(response.status == 200);
+    CHECK(response.body == "until the end");
 }
 
-TEST_CASE_METHOD(
-    serving_system, "A refusal without execution is told as such, another 503 is not", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "A 503 is forwarded as retryable only if the target declares that it did not execute the request",
+    "[forwarding]")
 {
     auto refused = request(1, "/shop/not-run");
     CHECK(refused.status == 503);
@@ -185,26 +190,29 @@
     CHECK(failed.headers.find("response-signature") == std::string::npos);
 }
 
-TEST_CASE_METHOD(
-    serving_system, "What is idempotent goes to another target, nothing to more than allowed", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "An idempotent request is retried on another target, up to the maximum number of attempts",
+    "[forwarding]")
 {
-    auto before = allRequests();
+    auto before = totalRequests();
     CHECK(request(1, "/stock/drop").status == 502);
-    CHECK(allRequests() == before + 2);
+    CHECK(totalRequests() == before + 2);
 }
 
-TEST_CASE_METHOD(serving_system, "When the caller leaves, the target's connection is closed", "[forwarding]")
+TEST_CASE_METHOD(
+    serving_system, "The connection to the target is closed when the caller disconnects", "[forwarding]")
 {
     raw_caller caller(callerAddress(1));
     caller.send(requestBytes("/shop/never", nextId(), "order"));
-    auto before = allRequests();
-    eventually([&] { return allRequests() > before; }, 2);
+    auto before = totalRequests();
+    eventually([&] { return totalRequests() > before; }, 2);
     caller.close();
     std::this_thread::sleep_for(std::chrono::milliseconds(500));
     CHECK(target("t1").abandoned() + target("t2").abandoned() == 1);
 }
 
-TEST_CASE_METHOD(serving_system, "A request that no target answers is ended at its deadline", "[forwarding]")
+TEST_CASE_METHOD(
+    serving_system, "A request that no target responds to ends with 504 at its deadline", "[forwarding]")
 {
     auto began = std::chrono::steady_clock::now();
     CHECK(request(1, "/shop/never").status == 504);
@@ -214,38 +222,37 @@
 }
 
 TEST_CASE_METHOD(
-    serving_system, "A stream goes on at another target after its last whole event", "[forwarding]")
+    serving_system, "A stream is resumed on another target after its last complete event", "[forwarding]")
 {
     const std::string all = "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\nid: 3\ndata: e3\n\nid: 4\ndata: e4\n\n"
                             "id: 5\ndata: e5\n\nid: 6\ndata: e6\n\n";
     auto plain = request(1, "/words/events");
     CHECK(plain.body == all);
-    CHECK(plain.whole);
+    CHECK(plain.isComplete);
     auto continued = request(1, "/words/events-cut");
     CHECK(continued.body == all);
-    CHECK(continued.whole);
+    CHECK(continued.isComplete);
 }
 
-TEST_CASE_METHOD(
-    serving_system, "An answer bears the signature of the run that it comes from only", "[forwarding]")
+TEST_CASE_METHOD(serving_system,
+    "A retried stream carries only the signature of the attempt that delivered it", "[forwarding]")
 {
-    auto answer = request(1, "/words/head-cut");
-    CHECK(answer.status == 200);
-    CHECK(answer.whole);
-    auto first = answer.headers.find("response-signature: ");
+    auto response = request(1, "/words/head-cut");
+    CHECK(response.status == 200);
+    CHECK(response.isComplete);
+    auto first = response.headers.find("response-signature: ");
     REQUIRE(first != std::string::npos);
-    CHECK(answer.headers.find("response-signature: ", first + 1) == std::string::npos);
-    CHECK(answer.body.find("id: 1\ndata: e1") == 0);
+    CHECK(response.headers.find("response-signature: ", first + 1) == std::string::npos);
+    CHECK(response.body.find("id: 1\ndata: e1") == 0);
 }
 
-TEST_CASE_METHOD(
-    serving_system, "Headers that only the system may set are never the caller's", "[forwarding]")
+TEST_CASE_METHOD(serving_system, "Reserved headers are never taken from the caller", "[forwarding]")
 {
     std::map<std::string, std::string> forged { { "Tenant", "other" }, { "Hold", "h" }, { "Pin-Ms", "9" },
         { "Kv-From", "x" }, { "Kv-Backup", "x" }, { "Kv-Fetch-From", "x" }, { "Cache-Salt", "x" },
         { "Request-Priority", "0" }, { "Expected-Instance", "x" }, { "Kept", "yes" } };
     CHECK(request(1, "/shop/whole", "order", forged).status == 200);
-    seen_request seen;
+    recorded_request seen;
     for (const char* name : { "t1", "t2" }) {
         for (const auto& each : target(name).requests()) {
             if (each.headers.contains("kept"))
@@ -264,9 +271,9 @@
 }
 
 TEST_CASE_METHOD(
-    serving_system, "A stopping entry answers what it has read and takes no new callers", "[forwarding]")
+    serving_system, "A draining entry completes requests in progress and is no longer ready", "[forwarding]")
 {
-    std::vector<std::future<raw_answer>> answers;
+    std::vector<std::future<raw_response>> answers;
     raw_caller idle(callerAddress(1));
     idle.send(requestBytes("/shop/whole", nextId(), "one"));
     CHECK(idle.receive().status == 200);
@@ -280,13 +287,13 @@
     auto last = idle.receive();
     CHECK(last.status == 200);
     CHECK(last.headers.find("connection: close") != std::string::npos);
-    for (auto& answer : answers)
-        CHECK(answer.get().status == 200);
+    for (auto& response : answers)
+        CHECK(response.get().status == 200);
     CHECK(stopped.get() == 0);
 }
 
 TEST_CASE_METHOD(
-    serving_system, "SIGHUP takes other control VMs to start from and ends nothing", "[forwarding]")
+    serving_system, "SIGHUP reloads the control seeds without interrupting service", "[forwarding]")
 {
     rewriteSeeds("n1", { 2, 3 });
     process("n1").signal(SIGHUP);
@@ -298,7 +305,9 @@
 }
 
 TEST_CASE_METHOD(serving_system,
-    "Changes are in force on entries at once and a taken out failure domain gets nothing", "[forwarding]")
+    "Deployment changes reach entries within two seconds, and a failure domain out of service gets no "
+    "requests",
+    "[forwarding]")
 {
     auto next = deployment(7);
     next["tenants"][0]["api-keys"] = { "key-2" };
@@ -312,7 +321,7 @@
         },
         2));
     CHECK(call(3, "DELETE", "/evacuations/east").first == 200);
-    keepAnnounced();
+    announceTargets();
     CHECK(eventually(
         [&] {
             return request(1, "/shop/whole", "order", { { "Api-Key", "key-2" } }).status == 200;
@@ -327,46 +336,48 @@
         2));
 }
 
-TEST_CASE_METHOD(serving_system, "Requests are served while nobody reads standard output", "[forwarding]")
+TEST_CASE_METHOD(
+    serving_system, "Requests are served while the pipe of standard output is full", "[forwarding]")
 {
     blockOutput("n2");
     startEntry(2);
     waitForTarget(2);
-    constexpr int requests = 600; // their lines are more than a pipe holds
+    constexpr int requests = 600; // their log lines exceed the capacity of a pipe
     raw_caller caller(callerAddress(2));
     int served = 0;
     for (int count = 0; count < requests; ++count) {
         caller.send(requestBytes("/shop/whole", nextId(), "order"));
         served += caller.receive().status == 200;
         if (count % 100 == 0)
-            keepAnnounced();
+            announceTargets();
     }
     CHECK(served == requests);
 }
 
-TEST_CASE("A control VM that lost its disk is taken back by a leader that it does not know", "[forwarding]")
+TEST_CASE(
+    "A control VM that lost its disk rejoins under a leader that is not among its seeds", "[forwarding]")
 {
     forwarding_system system;
-    constexpr int outsider = 4; // not among the seeds
-    for (int number = 1; number <= outsider; ++number)
+    constexpr int nonSeed = 4; // not among the seeds
+    for (int number = 1; number <= nonSeed; ++number)
         system.startControl(number);
     REQUIRE(system.putDeployment(1, system.deployment(5)));
-    auto leads = [&](int number) {
+    auto isLeader = [&](int number) {
         auto log = system.logOf("c" + std::to_string(number));
         auto role = log.rfind("event=role_changed role=");
         return role != std::string::npos && log.compare(role, 30, "event=role_changed role=leader") == 0;
     };
-    // The lead is handed over until the outsider has it.
-    for (int tries = 0; tries < 20 && !leads(outsider); ++tries) {
-        for (int number = 1; number < outsider; ++number) {
-            if (!leads(number))
+    // Restarts leaders until the control VM outside the seeds is the leader.
+    for (int tries = 0; tries < 20 && !isLeader(nonSeed); ++tries) {
+        for (int number = 1; number < nonSeed; ++number) {
+            if (!isLeader(number))
                 continue;
             system.process("c" + std::to_string(number)).stop();
             system.startControl(number, false);
         }
         forwarding_system::eventually([&] { return system.call(1, "GET", "/configuration").first == 200; });
     }
-    REQUIRE(leads(outsider));
+    REQUIRE(isLeader(nonSeed));
     system.process("c1").kill();
     system.removeFolder("c1");
     system.startControl(1, false);
@@ -375,7 +386,7 @@
     CHECK(system.putDeployment(1, system.deployment(6)));
 }
 
-TEST_CASE("Control forms itself from its seeds, whatever the order of start, and keeps what it accepted",
+TEST_CASE("Control VMs form a group from their seeds in any start order and keep accepted configurations",
     "[forwarding]")
 {
     forwarding_system system;
@@ -399,7 +410,7 @@
     for (int number = 1; number <= 3; ++number)
         system.process("c" + std::to_string(number)).kill();
     system.startControl(1, false);
-    CHECK(system.call(1, "GET", "/configuration").first != 200); // one of three cannot be sure
+    CHECK(system.call(1, "GET", "/configuration").first != 200); // one of three is no quorum
     system.startControl(2, false);
     CHECK(
         forwarding_system::eventually([&] { return system.call(1, "GET", "/configuration").first == 200; }));
@@ -407,38 +418,38 @@
 }
 
 TEST_CASE_METHOD(serving_system,
-    "A request that reaches an entry just before its first deployment is served, not refused", "[forwarding]")
+    "A request that arrives just before an entry's first deployment is served and not rejected",
+    "[forwarding]")
 {
     for (int number = 1; number <= 3; ++number)
         process("c" + std::to_string(number)).signal(SIGSTOP);
     startEntry(2);
-    raw_answer answer;
+    raw_response response;
     REQUIRE(eventually([&] {
         try {
             raw_caller caller(callerAddress(2));
             return true;
         } catch (const Poco::Exception&) {
-            return false; // the entry does not listen yet
+            return false; // the entry is not listening yet
         }
     }));
-    auto asked = std::async(std::launch::async, [&] { return request(2, "/shop/whole"); });
+    auto pending = std::async(std::launch::async, [&] { return request(2, "/shop/whole"); });
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
     for (int number = 1; number <= 3; ++number)
         process("c" + std::to_string(number)).signal(SIGCONT);
-    CHECK(asked.get().status == 200);
+    CHECK(pending.get().status == 200);
 }
 
-TEST_CASE(
-    "A request to an entry that gets no deployment is refused and told when to come back", "[forwarding]")
+TEST_CASE("An entry without a deployment rejects requests with a Retry-After header", "[forwarding]")
 {
     forwarding_system system;
-    system.startEntry(1); // without any control VM
-    raw_answer answer;
+    system.startEntry(1); // no control VM is running
+    raw_response response;
     REQUIRE(forwarding_system::eventually([&] {
         auto began = std::chrono::steady_clock::now();
-        answer = system.request(1, "/shop/whole");
+        response = system.request(1, "/shop/whole");
         auto took = std::chrono::steady_clock::now() - began;
-        return answer.status == 503 && took < std::chrono::milliseconds(1'200);
+        return response.status == 503 && took < std::chrono::milliseconds(1'200);
     }));
-    CHECK(answer.headers.find("retry-after: ") != std::string::npos);
+    CHECK(response.headers.find("retry-after: ") != std::string::npos);
 }
