--- a/packages/core/src/plumfold_dispatcher_updates.cpp
+++ b/packages/core/src/plumfold_dispatcher_updates.cpp
@@ -95,7 +95,8 @@
     return m_ledger.acquire(request, now);
 }
 
-dispatcher::actions dispatcher::releaseForPeer(permit_id permit, const attempt_measurement& measure, instant now)
+dispatcher::actions dispatcher::releaseForPeer(
+    permit_id permit, const attempt_measurement& measure, instant now)
 {
     actions out;
     m_ledger.release(permit, measure);
