--- a/benchmarks/plumfold_bench_control.cpp
+++ b/benchmarks/plumfold_bench_control.cpp
@@ -47,9 +47,9 @@
         [](const std::string&) {});
 }
 
-std::future<control::propose_answer> propose(control::control_node& node, core::command what)
+std::future<control::propose_response> propose(control::control_node& node, core::command what)
 {
-    auto completion = std::make_unique<promise_completion<control::propose_answer>>();
+    auto completion = std::make_unique<promise_completion<control::propose_response>>();
     auto future = completion->future();
     node.post(control::propose_event { std::move(what), std::move(completion) });
     return future;
@@ -94,9 +94,9 @@
     double plain = plainSyncMicroseconds(folder);
     {
         auto node = openNode(folder + "/a", 1'000'000'000);
-        auto completion = std::make_unique<promise_completion<control::propose_answer>>();
+        auto completion = std::make_unique<promise_completion<control::propose_response>>();
         auto formed = completion->future();
-        node->post(control::form_event { std::move(completion) });
+        node->post(control::bootstrap_event { std::move(completion) });
         formed.get();
         std::vector<double> times;
         for (std::uint64_t number = 0; number < 500; ++number) {
@@ -115,7 +115,7 @@
             waitForLeader(*node);
             auto start = clock_type::now();
             std::uint64_t before = number;
-            std::vector<std::future<control::propose_answer>> pending;
+            std::vector<std::future<control::propose_response>> pending;
             while (number < total) {
                 pending.push_back(propose(*node, change(number++)));
                 if (pending.size() < 512)
--- a/packages/control/include/plumfold/control/plumfold_control_node.hpp
+++ b/packages/control/include/plumfold/control/plumfold_control_node.hpp
@@ -19,11 +19,11 @@
 template <class T> class completion {
 public:
     virtual ~completion() = default;
-    virtual void done(T answer) = 0;
+    virtual void done(T response) = 0;
 };
 
 /// The answer to a proposed command.
-struct propose_answer {
+struct propose_response {
     bool accepted = false; ///< false: this node did not take the command and it will never be applied.
     std::string leaderAddress;
     std::string message;
@@ -35,22 +35,22 @@
 struct control_view {
     std::shared_ptr<const core::deployment_state> deployment;
     std::uint64_t appliedIndex = 0;
-    bool fresh = false; ///< In touch with a quorum.
-    bool leads = false;
+    bool isCaughtUp = false; ///< In touch with a quorum.
+    bool isLeader = false;
     std::uint64_t term = 0;
     std::string leaderAddress; ///< Empty while none is known.
     core::raft_membership members;
 };
 
 /// The answer to a watch.
-struct watch_answer {
+struct watch_response {
     core::configuration_update update;
-    bool fresh = false; ///< Whether this node was in touch with a quorum.
+    bool isCaughtUp = false; ///< Whether this node was in touch with a quorum.
     std::vector<core::verdict> verdicts;
 };
 
 /// What this node knows of itself and the system.
-struct status_answer {
+struct status_response {
     std::string node;
     core::raft_role role = core::raft_role::follower;
     std::uint64_t term = 0;
@@ -67,25 +67,25 @@
     core::raft_message message;
 };
 struct propose_event {
-    core::command what;
-    std::unique_ptr<completion<propose_answer>> answer;
+    core::command command;
+    std::unique_ptr<completion<propose_response>> callback;
 };
 struct watch_event {
     std::uint64_t knownRevision = 0;
     std::uint64_t knownDigest = 0;
-    core::instant until {};
-    std::unique_ptr<completion<watch_answer>> answer;
+    core::instant deadline {};
+    std::unique_ptr<completion<watch_response>> callback;
 };
 struct status_event {
-    std::unique_ptr<completion<status_answer>> answer;
+    std::unique_ptr<completion<status_response>> callback;
 };
-struct form_event {
-    std::unique_ptr<completion<propose_answer>> answer;
+struct bootstrap_event {
+    std::unique_ptr<completion<propose_response>> callback;
 };
-struct hand_over_event { };
+struct transfer_leadership_event { };
 
-using control_event
-    = std::variant<hand_over_event, peer_message_event, propose_event, watch_event, status_event, form_event>;
+using control_event = std::variant<transfer_leadership_event, peer_message_event, propose_event, watch_event,
+    status_event, bootstrap_event>;
 
 /// Options of one control VM.
 struct control_node_options {
@@ -107,7 +107,7 @@
     /// @param viewed is told every change of the view; called on the duty thread.
     /// @param failed called once when the disk fails; the process must end.
     control_node(control_node_options options, std::unique_ptr<durable_log> log, sender send,
-        view_listener viewed, std::function<void(const std::string&)> failed);
+        view_listener onViewChanged, std::function<void(const std::string&)> onDiskFailure);
     ~control_node();
 
     /// @return false when the ring is full: the caller must answer "not accepted".
@@ -116,24 +116,24 @@
 private:
     struct pending_proposal {
         std::uint64_t term;
-        std::unique_ptr<completion<propose_answer>> answer;
+        std::unique_ptr<completion<propose_response>> callback;
     };
 
     void run();
-    void handle(hand_over_event& event);
+    void handle(transfer_leadership_event& event);
     void handle(peer_message_event& event);
     void handle(propose_event& event);
     void handle(watch_event& event);
     void handle(status_event& event);
-    void handle(form_event& event);
-    bool doWork();
+    void handle(bootstrap_event& event);
+    bool processOutput();
     void apply(const core::log_entry& entry);
-    void answerWatches();
-    watch_answer watchAnswer(std::uint64_t knownRevision) const;
+    void completeWatches();
+    watch_response makeWatchResponse(std::uint64_t knownRevision) const;
     void maybeCompact();
-    void tellView();
+    void publishView();
     void logRoleChange();
-    propose_answer refusal(std::string message) const;
+    propose_response rejection(std::string message) const;
 
     control_node_options m_options;
     std::unique_ptr<durable_log> m_log;
@@ -144,10 +144,10 @@
     core::raft_node m_raft;
     core::unix_milliseconds m_lastCommandTime = 0;
     sender m_send;
-    view_listener m_viewed;
+    view_listener m_onViewChanged;
     control_view m_view; // as last told
     core::raft_role m_loggedRole = core::raft_role::follower;
-    std::function<void(const std::string&)> m_failed;
+    std::function<void(const std::string&)> m_onDiskFailure;
     std::map<std::uint64_t, pending_proposal> m_proposals;
     std::vector<watch_event> m_watches;
     runtime::bounded_ring<control_event> m_ring;
--- a/packages/control/include/plumfold/control/plumfold_control_role.hpp
+++ b/packages/control/include/plumfold/control/plumfold_control_role.hpp
@@ -16,16 +16,16 @@
 public:
     /// @param failed called when the disk fails; the process must end.
     static absl::StatusOr<std::unique_ptr<control_role>> start(const runtime::settings& settings,
-        wire::rpc_thread& rpc, std::function<void(const std::string&)> failed);
+        wire::rpc_thread& rpc, std::function<void(const std::string&)> onDiskFailure);
 
     ~control_role();
 
     /// Gives leadership away for a planned stop.
-    void handOver();
+    void transferLeadership();
 
 private:
     class impl;
-    explicit control_role(std::unique_ptr<impl> body);
+    explicit control_role(std::unique_ptr<impl> implementation);
     std::unique_ptr<impl> m_impl;
 };
 
--- a/packages/control/include/plumfold/control/plumfold_durable_log.hpp
+++ b/packages/control/include/plumfold/control/plumfold_durable_log.hpp
@@ -32,22 +32,22 @@
     /// @return what the folder held when it was opened.
     core::raft_disk_state takeState() { return std::move(m_state); }
 
-    /// Makes this VM one of the founders of a group, as every founder does by itself at the first start of
-    /// the whole system. Does nothing when the folder already holds state.
-    /// @param founders addresses of all founders, this VM's among them; the same on each.
-    absl::Status found(const std::vector<std::string>& founders);
+    /// Bootstraps the group with a fixed list of voters, as each of them does by itself when the whole system
+    /// starts for the first time. Does nothing if the folder already holds state.
+    /// @param initialMembers addresses of all initial voters, including this VM's; the same list on each.
+    absl::Status bootstrap(const std::vector<std::string>& initialMembers);
 
     /// Writes the persistent part of a node's work and syncs it.
     absl::Status persist(const core::raft_output& work);
 
     /// Replaces the log up to the snapshot's index.
     /// @param hard the present hard state.
-    /// @param rest the entries after the snapshot.
+    /// @param entries the entries after the snapshot.
     absl::Status compact(const core::raft_snapshot& snapshot, const core::hard_state& hard,
-        const std::vector<core::log_entry>& rest);
+        const std::vector<core::log_entry>& entries);
 
     /// @return whether there is room for a change.
-    bool hasRoom() const;
+    bool hasFreeSpace() const;
     std::uint64_t logBytes() const { return m_logBytes; }
 
 private:
@@ -61,7 +61,7 @@
     absl::Status writeFileAtomically(const std::string& name, const std::string& bytes);
     absl::Status openLogForAppend();
     absl::Status rewriteLog(const core::hard_state& hard, const std::vector<core::log_entry>& entries);
-    absl::Status failure(const std::string& what, const std::string& name) const;
+    absl::Status ioError(const std::string& operation, const std::string& name) const;
     std::string pathOf(const std::string& name) const { return m_folder + '/' + name; }
 
     std::string m_folder;
--- a/packages/control/src/plumfold_control_node.cpp
+++ b/packages/control/src/plumfold_control_node.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 control_node::control_node(control_node_options options, std::unique_ptr<durable_log> log, sender send,
-    view_listener viewed, std::function<void(const std::string&)> failed)
+    view_listener onViewChanged, std::function<void(const std::string&)> onDiskFailure)
     : m_options(std::move(options))
     , m_log(std::move(log))
     , m_raft([&] {
@@ -41,8 +41,8 @@
         return core::raft_node(raftOptions(m_options), std::move(state), runtime::now());
     }())
     , m_send(std::move(send))
-    , m_viewed(std::move(viewed))
-    , m_failed(std::move(failed))
+    , m_onViewChanged(std::move(onViewChanged))
+    , m_onDiskFailure(std::move(onDiskFailure))
     , m_ring(ringCapacity)
     , m_thread([this] { run(); })
 {
@@ -71,16 +71,16 @@
             nextTick = runtime::now() + tickInterval;
             m_raft.tick(runtime::now());
         }
-        if (!doWork())
+        if (!processOutput())
             return;
-        answerWatches();
-        tellView();
+        completeWatches();
+        publishView();
         logRoleChange();
         maybeCompact();
     }
 }
 
-bool control_node::doWork()
+bool control_node::processOutput()
 {
     while (true) {
         core::raft_output work = m_raft.takeOutput();
@@ -88,7 +88,7 @@
             return true;
         if (work.needsSync()) {
             if (auto status = m_log->persist(work); !status.ok()) {
-                m_failed(std::string(status.message()));
+                m_onDiskFailure(std::string(status.message()));
                 return false;
             }
             m_raft.persisted(runtime::now());
@@ -124,39 +124,39 @@
     pending_proposal pending = std::move(found->second);
     m_proposals.erase(found);
     if (pending.term == entry.term)
-        pending.answer->done(propose_answer { true, {}, {}, std::move(result), entry.index });
+        pending.callback->done(propose_response { true, {}, {}, std::move(result), entry.index });
     else
-        pending.answer->done(refusal("another leader took over: try again"));
+        pending.callback->done(rejection("another leader took over: try again"));
 }
 
-propose_answer control_node::refusal(std::string message) const
+propose_response control_node::rejection(std::string message) const
 {
-    propose_answer answer;
-    answer.leaderAddress = m_raft.leaderAddress();
-    answer.message = std::move(message);
-    return answer;
+    propose_response response;
+    response.leaderAddress = m_raft.leaderAddress();
+    response.message = std::move(message);
+    return response;
 }
 
-void control_node::tellView()
+void control_node::publishView()
 {
-    bool fresh = m_raft.isCaughtUp(runtime::now());
-    bool leads = m_raft.role() == core::raft_role::leader;
+    bool isCaughtUp = m_raft.isCaughtUp(runtime::now());
+    bool isLeader = m_raft.role() == core::raft_role::leader;
     std::string leader = m_raft.leaderAddress();
     bool sameDeployment = m_view.deployment && m_view.deployment->revision == m_state.deployment().revision;
-    bool same = sameDeployment && m_view.appliedIndex == m_appliedIndex && m_view.fresh == fresh
-        && m_view.leads == leads && m_view.term == m_raft.term() && m_view.leaderAddress == leader
+    bool same = sameDeployment && m_view.appliedIndex == m_appliedIndex && m_view.isCaughtUp == isCaughtUp
+        && m_view.isLeader == isLeader && m_view.term == m_raft.term() && m_view.leaderAddress == leader
         && m_view.members == m_raft.members();
     if (same)
         return;
     if (!sameDeployment)
         m_view.deployment = std::make_shared<const core::deployment_state>(m_state.deployment());
     m_view.appliedIndex = m_appliedIndex;
-    m_view.fresh = fresh;
-    m_view.leads = leads;
+    m_view.isCaughtUp = isCaughtUp;
+    m_view.isLeader = isLeader;
     m_view.term = m_raft.term();
     m_view.leaderAddress = std::move(leader);
     m_view.members = m_raft.members();
-    m_viewed(m_view);
+    m_onViewChanged(m_view);
 }
 
 void control_node::logRoleChange()
@@ -171,7 +171,7 @@
         .with("voters", m_raft.members().voters());
 }
 
-void control_node::handle(hand_over_event&)
+void control_node::handle(transfer_leadership_event&)
 {
     m_raft.transferLeadership(runtime::now());
 }
@@ -184,80 +184,81 @@
 void control_node::handle(propose_event& event)
 {
     if (m_raft.role() != core::raft_role::leader) {
-        event.answer->done(refusal("this control VM does not lead: call the leader"));
+        event.callback->done(rejection("this control VM does not lead: call the leader"));
         return;
     }
-    if (!m_log->hasRoom()) {
-        event.answer->done(refusal("the data folder is full: free space on the control VM's disk"));
+    if (!m_log->hasFreeSpace()) {
+        event.callback->done(rejection("the data folder is full: free space on the control VM's disk"));
         return;
     }
-    event.what.at = std::max(runtime::unixNow(), m_lastCommandTime);
-    auto index = m_raft.propose(wire::encode<wire::Command>(event.what), runtime::now());
+    event.command.at = std::max(runtime::unixNow(), m_lastCommandTime);
+    auto index = m_raft.propose(wire::encode<wire::Command>(event.command), runtime::now());
     if (!index) {
-        event.answer->done(refusal("this control VM just lost its lead: call the leader"));
+        event.callback->done(rejection("this control VM just lost its lead: call the leader"));
         return;
     }
-    m_proposals[*index] = pending_proposal { m_raft.term(), std::move(event.answer) };
+    m_proposals[*index] = pending_proposal { m_raft.term(), std::move(event.callback) };
 }
 
 void control_node::handle(watch_event& event)
 {
-    bool news = event.knownRevision != m_state.config().revision()
+    bool isOutdated = event.knownRevision != m_state.config().revision()
         || event.knownDigest != m_state.config().digest();
-    if (news)
-        event.answer->done(watchAnswer(event.knownRevision));
+    if (isOutdated)
+        event.callback->done(makeWatchResponse(event.knownRevision));
     else
         m_watches.push_back(std::move(event));
 }
 
-watch_answer control_node::watchAnswer(std::uint64_t knownRevision) const
+watch_response control_node::makeWatchResponse(std::uint64_t knownRevision) const
 {
-    watch_answer answer;
+    watch_response response;
     const auto& config = m_state.config();
-    answer.update.revision = config.revision();
-    answer.update.digest = config.digest();
+    response.update.revision = config.revision();
+    response.update.digest = config.digest();
     if (auto deltas = m_state.deltasAfter(knownRevision))
-        answer.update.deltas = std::move(*deltas);
+        response.update.deltas = std::move(*deltas);
     else
-        answer.update.full = config.records();
-    answer.fresh = m_raft.isCaughtUp(runtime::now());
-    answer.verdicts = m_state.verdicts();
-    return answer;
+        response.update.full = config.records();
+    response.isCaughtUp = m_raft.isCaughtUp(runtime::now());
+    response.verdicts = m_state.verdicts();
+    return response;
 }
 
-void control_node::answerWatches()
+void control_node::completeWatches()
 {
     auto now = runtime::now();
     std::erase_if(m_watches, [&](watch_event& each) {
-        if (each.knownRevision == m_state.config().revision() && now < each.until)
+        if (each.knownRevision == m_state.config().revision() && now < each.deadline)
             return false;
-        each.answer->done(watchAnswer(each.knownRevision));
+        each.callback->done(makeWatchResponse(each.knownRevision));
         return true;
     });
 }
 
 void control_node::handle(status_event& event)
 {
-    status_answer answer;
-    answer.node = m_options.name;
-    answer.role = m_raft.role();
-    answer.term = m_raft.term();
-    answer.commitIndex = m_raft.commitIndex();
-    answer.appliedIndex = m_appliedIndex;
-    answer.revision = m_state.config().revision();
-    answer.members = m_raft.members();
-    answer.claims = m_state.claims().size();
-    answer.usage = m_state.usage();
-    answer.audit.assign(m_state.audit().begin(), m_state.audit().end());
-    event.answer->done(std::move(answer));
+    status_response response;
+    response.node = m_options.name;
+    response.role = m_raft.role();
+    response.term = m_raft.term();
+    response.commitIndex = m_raft.commitIndex();
+    response.appliedIndex = m_appliedIndex;
+    response.revision = m_state.config().revision();
+    response.members = m_raft.members();
+    response.claims = m_state.claims().size();
+    response.usage = m_state.usage();
+    response.audit.assign(m_state.audit().begin(), m_state.audit().end());
+    event.callback->done(std::move(response));
 }
 
-void control_node::handle(form_event& event)
+void control_node::handle(bootstrap_event& event)
 {
     if (m_raft.bootstrap(runtime::now()))
-        event.answer->done(propose_answer { true, m_options.address, {}, {}, 0 });
+        event.callback->done(propose_response { true, m_options.address, {}, {}, 0 });
     else
-        event.answer->done(refusal("this control VM already belongs to a group: nothing needs to be formed"));
+        event.callback->done(
+            rejection("this control VM already belongs to a group: nothing needs to be formed"));
 }
 
 void control_node::maybeCompact()
@@ -271,7 +272,7 @@
     snapshot.state = wire::encode<wire::ControlSnapshot>(m_state.snapshot());
     m_raft.compact(snapshot);
     if (auto status = m_log->compact(snapshot, m_raft.hardState(), m_raft.entries()); !status.ok()) {
-        m_failed(std::string(status.message()));
+        m_onDiskFailure(std::string(status.message()));
         return;
     }
     runtime::log_event("snapshot").with("index", snapshot.index).with("bytes", snapshot.state.size());
--- a/packages/control/src/plumfold_control_role.cpp
+++ b/packages/control/src/plumfold_control_role.cpp
@@ -23,7 +23,7 @@
 class control_role::impl {
 public:
     impl(const runtime::settings& settings, wire::rpc_thread& rpc, std::unique_ptr<durable_log> log,
-        std::function<void(const std::string&)> failed)
+        std::function<void(const std::string&)> onDiskFailure)
         : m_settings(settings)
         , m_rpc(rpc)
     {
@@ -46,14 +46,14 @@
                     m_links->send(message);
             });
         };
-        auto viewed = [this](control_view view) {
+        auto onViewChanged = [this](control_view view) {
             m_rpc.post([this, view = std::move(view)] {
-                m_links->learn(view.members);
+                m_links->addMembers(view.members);
                 m_feed->update(view);
             });
         };
         m_node = std::make_unique<control_node>(
-            std::move(options), std::move(log), send, viewed, std::move(failed));
+            std::move(options), std::move(log), send, onViewChanged, std::move(onDiskFailure));
         m_rpc.run([&] {
             m_leader = std::make_unique<leader_client>(m_rpc, m_settings, *m_node, *m_feed);
             m_context = std::make_unique<service_context>(
@@ -89,7 +89,7 @@
         });
     }
 
-    void handOver() { m_node->post(hand_over_event {}); }
+    void transferLeadership() { m_node->post(transfer_leadership_event {}); }
 
 private:
     kj::Promise<void> feedLoop()
@@ -114,33 +114,34 @@
     std::unique_ptr<load_reader> m_loads;
 };
 
-absl::StatusOr<std::unique_ptr<control_role>> control_role::start(
-    const runtime::settings& settings, wire::rpc_thread& rpc, std::function<void(const std::string&)> failed)
+absl::StatusOr<std::unique_ptr<control_role>> control_role::start(const runtime::settings& settings,
+    wire::rpc_thread& rpc, std::function<void(const std::string&)> onDiskFailure)
 {
     auto log = durable_log::open(settings.process.dataFolder, settings.control->maxDataBytes);
     if (!log.ok())
         return log.status();
-    auto founders = runtime::seedAddresses(*settings.control);
-    bool isFounder = settings.control->firstStart
-        && std::find(founders.begin(), founders.end(), settings.control->address) != founders.end();
-    if (isFounder) {
-        if (auto status = (*log)->found(founders); !status.ok())
+    auto initialMembers = runtime::seedAddresses(*settings.control);
+    bool isInitialMember = settings.control->firstStart
+        && std::find(initialMembers.begin(), initialMembers.end(), settings.control->address)
+            != initialMembers.end();
+    if (isInitialMember) {
+        if (auto status = (*log)->bootstrap(initialMembers); !status.ok())
             return status;
     }
-    auto body = std::make_unique<impl>(settings, rpc, std::move(*log), std::move(failed));
-    return std::unique_ptr<control_role>(new control_role(std::move(body)));
+    auto implementation = std::make_unique<impl>(settings, rpc, std::move(*log), std::move(onDiskFailure));
+    return std::unique_ptr<control_role>(new control_role(std::move(implementation)));
 }
 
-control_role::control_role(std::unique_ptr<impl> body)
-    : m_impl(std::move(body))
+control_role::control_role(std::unique_ptr<impl> implementation)
+    : m_impl(std::move(implementation))
 {
 }
 
 control_role::~control_role() = default;
 
-void control_role::handOver()
+void control_role::transferLeadership()
 {
-    m_impl->handOver();
+    m_impl->transferLeadership();
 }
 
 } // namespace plumfold::control
--- a/packages/control/src/plumfold_control_service.cpp
+++ b/packages/control/src/plumfold_control_service.cpp
@@ -14,15 +14,15 @@
 namespace {
 
 constexpr std::uint32_t maxWatchMs = 10'000;
-constexpr auto confirmBound = 1500 * kj::MILLISECONDS;
-constexpr core::milliseconds entryForgetTime { 60'000 };
+constexpr auto confirmTimeout = 1500 * kj::MILLISECONDS;
+constexpr core::milliseconds entryMaxAge { 60'000 };
 
-void writeReply(wire::Reply::Builder out, const propose_answer& answer)
+void writeReply(wire::Reply::Builder out, const propose_response& response)
 {
-    out.setAccepted(answer.accepted);
-    out.setLeaderAddress(answer.leaderAddress);
-    out.setMessage(answer.message);
-    out.setLogIndex(answer.logIndex);
+    out.setAccepted(response.accepted);
+    out.setLeaderAddress(response.leaderAddress);
+    out.setMessage(response.message);
+    out.setLogIndex(response.logIndex);
 }
 
 void requireSecret(const service_context& context, capnp::Text::Reader secret)
@@ -83,31 +83,31 @@
         watch_event event;
         event.knownRevision = params.getKnownRevision();
         event.knownDigest = params.getKnownDigest();
-        event.until = runtime::now() + core::milliseconds(std::min(params.getWaitMs(), maxWatchMs));
+        event.deadline = runtime::now() + core::milliseconds(std::min(params.getWaitMs(), maxWatchMs));
         if (!params.getLinearizable())
-            return answerWatch(call, std::move(event));
+            return respondToWatch(call, std::move(event));
         // The barrier shows that this node led when the call came, so its state is not older than any known
         // one.
-        return ask<propose_answer>(
+        return postEvent<propose_response>(
             m_context.node, propose_event { core::command { 0, core::barrier_command {} }, {} })
-            .then(
-                [this, call, event = std::move(event)](propose_answer barrier) mutable -> kj::Promise<void> {
-                    KJ_REQUIRE(barrier.accepted, "this control VM cannot answer for the quorum",
-                        barrier.leaderAddress);
-                    return answerWatch(call, std::move(event));
-                });
+            .then([this, call, event = std::move(event)](
+                      propose_response barrier) mutable -> kj::Promise<void> {
+                KJ_REQUIRE(
+                    barrier.accepted, "this control VM cannot answer for the quorum", barrier.leaderAddress);
+                return respondToWatch(call, std::move(event));
+            });
     }
 
     kj::Promise<void> submit(SubmitContext call) override
     {
         propose_event event { wire::read(call.getParams().getCommand()), {} };
-        KJ_REQUIRE(!std::holds_alternative<core::change_command>(event.what.payload),
+        KJ_REQUIRE(!std::holds_alternative<core::change_command>(event.command.payload),
             "entries may not change the configuration");
-        return ask<propose_answer>(m_context.node, std::move(event))
-            .then([call](propose_answer answer) mutable {
+        return postEvent<propose_response>(m_context.node, std::move(event))
+            .then([call](propose_response response) mutable {
                 auto results = call.getResults();
-                writeReply(results.initReply(), answer);
-                wire::write(results.initResult(), answer.result);
+                writeReply(results.initReply(), response);
+                wire::write(results.initResult(), response.result);
             });
     }
 
@@ -117,23 +117,23 @@
         m_context.feed.followedBy(m_name);
         kj::Promise<void> ready = kj::READY_NOW;
         if (params.getConfirmed())
-            ready = m_context.leader.confirm(confirmBound);
+            ready = m_context.leader.confirm(confirmTimeout);
         return ready.then([this, call]() mutable {
             auto params = call.getParams();
             // A feed of an earlier life numbers its changes otherwise.
             std::uint64_t change = params.getFeed() == m_context.feed.id() ? params.getKnownChange() : 0;
             auto wait = std::min(params.getWaitMs(), maxWatchMs) * kj::MILLISECONDS;
             return m_context.feed.waitForNews(params.getKnownDeployment(), change, wait)
-                .then([this, call, change]() mutable { answerFollow(call, change); });
+                .then([this, call, change]() mutable { writeFollowResults(call, change); });
         });
     }
 
 private:
-    void answerFollow(FollowContext& call, std::uint64_t change)
+    void writeFollowResults(FollowContext& call, std::uint64_t change)
     {
         const auto& feed = m_context.feed;
         auto out = call.getResults();
-        out.setFresh(feed.view().fresh);
+        out.setFresh(feed.view().isCaughtUp);
         out.setFeed(feed.id());
         out.setChange(feed.directory().latestChange());
         out.setEverything(change == 0);
@@ -183,16 +183,17 @@
         wire::write(out, told);
     }
 
-    kj::Promise<void> answerWatch(WatchContext call, watch_event event)
+    kj::Promise<void> respondToWatch(WatchContext call, watch_event event)
     {
-        return ask<watch_answer>(m_context.node, std::move(event)).then([call](watch_answer answer) mutable {
-            auto results = call.getResults();
-            wire::write(results.initUpdate(), answer.update);
-            results.setFresh(answer.fresh);
-            auto verdicts = results.initVerdicts(answer.verdicts.size());
-            for (unsigned index = 0; index < answer.verdicts.size(); ++index)
-                wire::write(verdicts[index], answer.verdicts[index]);
-        });
+        return postEvent<watch_response>(m_context.node, std::move(event))
+            .then([call](watch_response response) mutable {
+                auto results = call.getResults();
+                wire::write(results.initUpdate(), response.update);
+                results.setFresh(response.isCaughtUp);
+                auto verdicts = results.initVerdicts(response.verdicts.size());
+                for (unsigned index = 0; index < response.verdicts.size(); ++index)
+                    wire::write(verdicts[index], response.verdicts[index]);
+            });
     }
 
     service_context& m_context;
@@ -202,18 +203,19 @@
 
 class operator_server final : public wire::Operator::Server {
 public:
-    operator_server(service_context& context, runtime::operator_setting who)
+    operator_server(service_context& context, runtime::operator_setting setting)
         : m_context(context)
-        , m_who(std::move(who))
+        , m_operator(std::move(setting))
     {
     }
 
     kj::Promise<void> form(FormContext call) override
     {
         requireChange();
-        return ask<propose_answer>(m_context.node, form_event {}).then([call](propose_answer answer) mutable {
-            writeReply(call.getResults().initReply(), answer);
-        });
+        return postEvent<propose_response>(m_context.node, bootstrap_event {})
+            .then([call](propose_response response) mutable {
+                writeReply(call.getResults().initReply(), response);
+            });
     }
 
     kj::Promise<void> change(ChangeContext call) override
@@ -221,15 +223,15 @@
         requireChange();
         auto params = call.getParams();
         core::change_command change;
-        change.operatorName = m_who.name;
+        change.operatorName = m_operator.name;
         change.requestId = params.getRequestId().cStr();
         change.expectedRevision = params.getExpectedRevision();
-        change.what = wire::read(params.getChange());
+        change.requestedChange = wire::read(params.getChange());
         KJ_REQUIRE(!change.requestId.empty(), "the request id is empty: give each change its own");
-        return propose(std::move(change)).then([call](propose_answer answer) mutable {
+        return propose(std::move(change)).then([call](propose_response response) mutable {
             auto results = call.getResults();
-            writeReply(results.initReply(), answer);
-            if (const auto* result = std::get_if<core::change_result>(&answer.result))
+            writeReply(results.initReply(), response);
+            if (const auto* result = std::get_if<core::change_result>(&response.result))
                 wire::write(results.initResult(), *result);
         });
     }
@@ -237,39 +239,40 @@
     kj::Promise<void> read(ReadContext call) override
     {
         bool linearizable = call.getParams().getLinearizable();
-        kj::Promise<propose_answer> ready = propose_answer { true, {}, {}, {} };
+        kj::Promise<propose_response> ready = propose_response { true, {}, {}, {} };
         if (linearizable)
             ready = propose(core::barrier_command {});
-        return ready.then([this, call](propose_answer answer) mutable -> kj::Promise<void> {
-            writeReply(call.getResults().initReply(), answer);
-            if (!answer.accepted)
+        return ready.then([this, call](propose_response response) mutable -> kj::Promise<void> {
+            writeReply(call.getResults().initReply(), response);
+            if (!response.accepted)
                 return kj::READY_NOW;
             // A revision that cannot exist asks for everything.
-            watch_event everything;
-            everything.knownRevision = UINT64_MAX;
-            return ask<watch_answer>(m_context.node, std::move(everything))
-                .then([call](watch_answer news) mutable {
-                    wire::write(call.getResults().initUpdate(), news.update);
+            watch_event event;
+            event.knownRevision = UINT64_MAX;
+            return postEvent<watch_response>(m_context.node, std::move(event))
+                .then([call](watch_response response) mutable {
+                    wire::write(call.getResults().initUpdate(), response.update);
                 });
         });
     }
 
     kj::Promise<void> status(StatusContext call) override
     {
-        return ask<status_answer>(m_context.node, status_event {})
-            .then([this, call](
-                      status_answer answer) mutable { writeStatus(call.getResults().initStatus(), answer); });
+        return postEvent<status_response>(m_context.node, status_event {})
+            .then([this, call](status_response response) mutable {
+                writeStatus(call.getResults().initStatus(), response);
+            });
     }
 
     kj::Promise<void> usage(UsageContext call) override
     {
         return propose(core::barrier_command {})
-            .then([this, call](propose_answer answer) mutable -> kj::Promise<void> {
-                writeReply(call.getResults().initReply(), answer);
-                if (!answer.accepted)
+            .then([this, call](propose_response response) mutable -> kj::Promise<void> {
+                writeReply(call.getResults().initReply(), response);
+                if (!response.accepted)
                     return kj::READY_NOW;
-                return ask<status_answer>(m_context.node, status_event {})
-                    .then([call](status_answer status) mutable {
+                return postEvent<status_response>(m_context.node, status_event {})
+                    .then([call](status_response status) mutable {
                         auto rows = call.getResults().initRows(status.usage.size());
                         for (unsigned index = 0; index < status.usage.size(); ++index)
                             wire::write(rows[index], status.usage[index]);
@@ -281,44 +284,46 @@
     {
         requireChange();
         return propose(core::verdict_command { call.getParams().getFingerprint(), 0, true })
-            .then(
-                [call](propose_answer answer) mutable { writeReply(call.getResults().initReply(), answer); });
+            .then([call](propose_response response) mutable {
+                writeReply(call.getResults().initReply(), response);
+            });
     }
 
     kj::Promise<void> audit(AuditContext call) override
     {
-        return ask<status_answer>(m_context.node, status_event {}).then([call](status_answer answer) mutable {
-            auto records = call.getResults().initRecords(answer.audit.size());
-            for (unsigned index = 0; index < answer.audit.size(); ++index)
-                wire::write(records[index], answer.audit[index]);
-        });
+        return postEvent<status_response>(m_context.node, status_event {})
+            .then([call](status_response response) mutable {
+                auto records = call.getResults().initRecords(response.audit.size());
+                for (unsigned index = 0; index < response.audit.size(); ++index)
+                    wire::write(records[index], response.audit[index]);
+            });
     }
 
 private:
     void requireChange() const
     {
-        KJ_REQUIRE(m_who.mayChange, "this operator may only read: use an operator with mayChange");
+        KJ_REQUIRE(m_operator.mayChange, "this operator may only read: use an operator with mayChange");
     }
 
-    template <class What> kj::Promise<propose_answer> propose(What what)
+    template <class Payload> kj::Promise<propose_response> propose(Payload payload)
     {
-        return ask<propose_answer>(
-            m_context.node, propose_event { core::command { 0, std::move(what) }, {} });
+        return postEvent<propose_response>(
+            m_context.node, propose_event { core::command { 0, std::move(payload) }, {} });
     }
 
-    void writeStatus(wire::ControlStatus::Builder out, const status_answer& answer) const
+    void writeStatus(wire::ControlStatus::Builder out, const status_response& response) const
     {
-        out.setNode(answer.node);
-        out.setRole(core::raftRoleName(answer.role));
-        out.setTerm(answer.term);
-        out.setCommitIndex(answer.commitIndex);
-        out.setAppliedIndex(answer.appliedIndex);
-        out.setRevision(answer.revision);
-        out.setClaims(answer.claims);
-        out.setFormed(!answer.members.members.empty());
-        auto members = out.initMembers(answer.members.members.size());
-        for (unsigned index = 0; index < answer.members.members.size(); ++index)
-            wire::write(members[index], answer.members.members[index]);
+        out.setNode(response.node);
+        out.setRole(core::raftRoleName(response.role));
+        out.setTerm(response.term);
+        out.setCommitIndex(response.commitIndex);
+        out.setAppliedIndex(response.appliedIndex);
+        out.setRevision(response.revision);
+        out.setClaims(response.claims);
+        out.setFormed(!response.members.members.empty());
+        auto members = out.initMembers(response.members.members.size());
+        for (unsigned index = 0; index < response.members.members.size(); ++index)
+            wire::write(members[index], response.members.members[index]);
         auto entries = out.initEntries(m_context.entries.size());
         unsigned index = 0;
         for (const auto& [name, entry] : m_context.entries) {
@@ -326,13 +331,13 @@
             to.setName(name);
             to.setFailureDomain(entry.failureDomain);
             to.setRevision(entry.revision);
-            auto age = std::chrono::duration_cast<core::milliseconds>(runtime::now() - entry.seenAt);
+            auto age = std::chrono::duration_cast<core::milliseconds>(runtime::now() - entry.lastSeenAt);
             to.setAgeMs(static_cast<std::uint64_t>(age.count()));
         }
     }
 
     service_context& m_context;
-    runtime::operator_setting m_who;
+    runtime::operator_setting m_operator;
 };
 
 class control_server final : public wire::Control::Server {
@@ -368,7 +373,7 @@
         requireSecret(m_context, params.getSecret());
         auto now = runtime::now();
         std::erase_if(
-            m_context.entries, [&](const auto& each) { return now - each.second.seenAt > entryForgetTime; });
+            m_context.entries, [&](const auto& each) { return now - each.second.lastSeenAt > entryMaxAge; });
         call.getResults().setSession(
             kj::heap<entry_server>(m_context, params.getName().cStr(), params.getFailureDomain().cStr()));
         return kj::READY_NOW;
--- a/packages/control/src/plumfold_control_service.hpp
+++ b/packages/control/src/plumfold_control_service.hpp
@@ -16,10 +16,10 @@
 namespace plumfold::control {
 
 /// An entry as its watch calls show it.
-struct watching_entry {
+struct entry_status {
     std::string failureDomain;
     std::uint64_t revision = 0;
-    core::instant seenAt {};
+    core::instant lastSeenAt {};
 };
 
 /// What all calls of one control VM share. Lives on the RPC duty.
@@ -29,7 +29,7 @@
     wire::rpc_thread& rpc;
     deployment_feed& feed;
     leader_client& leader;
-    std::map<std::string, watching_entry> entries;
+    std::map<std::string, entry_status> entries;
 };
 
 /// @return the interface that a control VM serves to its callers.
--- a/packages/control/src/plumfold_deployment_feed.cpp
+++ b/packages/control/src/plumfold_deployment_feed.cpp
@@ -44,8 +44,8 @@
             .with("out_of_service", view.deployment->outOfService.size())
             .with("log_index", view.appliedIndex);
     }
-    if (view.fresh != m_view.fresh)
-        runtime::log_event(view.fresh ? "quorum_regained" : "quorum_lost")
+    if (view.isCaughtUp != m_view.isCaughtUp)
+        runtime::log_event(view.isCaughtUp ? "quorum_regained" : "quorum_lost")
             .with("term", view.term)
             .with("leader", view.leaderAddress);
     bool newDocument = view.deployment->document.version != m_view.deployment->document.version;
@@ -318,7 +318,7 @@
 {
     auto news = waitUntil([this, deployment, change] {
         return m_view.deployment->revision > deployment || m_directory.latestChange() != change
-            || !m_view.fresh;
+            || !m_view.isCaughtUp;
     });
     return news.exclusiveJoin(m_rpc.timer().afterDelay(atMost));
 }
--- a/packages/control/src/plumfold_durable_log.cpp
+++ b/packages/control/src/plumfold_durable_log.cpp
@@ -24,9 +24,9 @@
 constexpr const char* lockName = "lock";
 constexpr const char* snapshotName = "snapshot";
 constexpr const char* logName = "log";
-constexpr std::uint64_t founderIncarnation = 1; // a later disk of the same VM draws a random one
+constexpr std::uint64_t initialIncarnation = 1; // a later disk of the same VM draws a random one
 constexpr std::size_t headerBytes = 12; // length (4) and checksum (8)
-constexpr std::uint64_t reserveBytes = 64 << 10; // kept free for votes and truncations
+constexpr std::uint64_t reservedBytes = 64 << 10; // kept free for votes and truncations
 
 std::string frame(const std::string& payload)
 {
@@ -38,7 +38,7 @@
     return out + payload;
 }
 
-enum class frame_state { whole, torn, damaged, end };
+enum class frame_state { valid, torn, corrupt, end };
 
 struct frame_result {
     frame_state state = frame_state::end;
@@ -62,9 +62,9 @@
         return { frame_state::torn, {} };
     std::string_view payload = bytes.substr(offset + headerBytes, length);
     if (length > 0 && core::hashBytes(payload, length) == checksum)
-        return { frame_state::whole, payload };
+        return { frame_state::valid, payload };
     bool zeroTail = bytes.find_first_not_of('\0', offset) == std::string_view::npos;
-    return { length == left || zeroTail ? frame_state::torn : frame_state::damaged, {} };
+    return { length == left || zeroTail ? frame_state::torn : frame_state::corrupt, {} };
 }
 
 std::string readFile(const std::string& path)
@@ -91,7 +91,7 @@
 
 struct loaded_log {
     absl::Status status;
-    std::size_t wholeBytes = 0;
+    std::size_t validBytes = 0;
 };
 
 loaded_log loadRecords(const std::string& path, core::raft_disk_state& state)
@@ -99,17 +99,17 @@
     loaded_log result;
     std::string bytes = readFile(path);
     while (true) {
-        frame_result next = readFrame(bytes, result.wholeBytes);
+        frame_result next = readFrame(bytes, result.validBytes);
         if (next.state == frame_state::end || next.state == frame_state::torn)
             return result;
-        if (next.state == frame_state::damaged) {
-            result.status = absl::DataLossError(absl::StrCat(path, ": the record at byte ", result.wholeBytes,
+        if (next.state == frame_state::corrupt) {
+            result.status = absl::DataLossError(absl::StrCat(path, ": the record at byte ", result.validBytes,
                 " is damaged: move the data folder away and start with an empty one; the other control VMs "
                 "will fill it"));
             return result;
         }
         applyRecord(state, wire::decode<wire::WalRecord>(next.payload));
-        result.wholeBytes += headerBytes + next.payload.size();
+        result.validBytes += headerBytes + next.payload.size();
     }
 }
 
@@ -119,7 +119,7 @@
         return absl::OkStatus();
     std::string bytes = readFile(path);
     frame_result next = readFrame(bytes, 0);
-    if (next.state != frame_state::whole)
+    if (next.state != frame_state::valid)
         return absl::DataLossError(absl::StrCat(path,
             ": the snapshot is damaged: move the data folder away and start with an empty one; the other "
             "control VMs will "
@@ -144,10 +144,10 @@
         ::close(m_lockFile);
 }
 
-absl::Status durable_log::failure(const std::string& what, const std::string& name) const
+absl::Status durable_log::ioError(const std::string& operation, const std::string& name) const
 {
-    return absl::UnavailableError(absl::StrCat(
-        pathOf(name), ": cannot ", what, " (", std::strerror(errno), "): check the disk and its free space"));
+    return absl::UnavailableError(absl::StrCat(pathOf(name), ": cannot ", operation, " (",
+        std::strerror(errno), "): check the disk and its free space"));
 }
 
 absl::StatusOr<std::unique_ptr<durable_log>> durable_log::open(
@@ -188,7 +188,7 @@
 {
     m_lockFile = ::open(pathOf(lockName).c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
     if (m_lockFile < 0)
-        return failure("open", lockName);
+        return ioError("open", lockName);
     if (::flock(m_lockFile, LOCK_EX | LOCK_NB) != 0)
         return absl::FailedPreconditionError(absl::StrCat(
             m_folder, ": another process uses this data folder: stop it or give another folder"));
@@ -211,7 +211,7 @@
     return absl::OkStatus();
 }
 
-absl::Status durable_log::found(const std::vector<std::string>& founders)
+absl::Status durable_log::bootstrap(const std::vector<std::string>& initialMembers)
 {
     bool isEmpty = m_state.snapshot.index == 0 && m_state.entries.empty() && m_state.hard.term == 0;
     if (!isEmpty)
@@ -219,14 +219,14 @@
     core::raft_snapshot first;
     first.index = 1;
     first.term = 1;
-    for (const auto& address : founders)
-        first.members.members.push_back({ address, founderIncarnation, true, address });
+    for (const auto& address : initialMembers)
+        first.members.members.push_back({ address, initialIncarnation, true, address });
     first.state = wire::encode<wire::ControlSnapshot>(core::control_snapshot());
-    if (auto status = writeFileAtomically(identityName, std::to_string(founderIncarnation)); !status.ok())
+    if (auto status = writeFileAtomically(identityName, std::to_string(initialIncarnation)); !status.ok())
         return status;
     if (auto status = compact(first, core::hard_state { 1, {} }, {}); !status.ok())
         return status;
-    m_state.incarnation = founderIncarnation;
+    m_state.incarnation = initialIncarnation;
     m_state.snapshot = std::move(first);
     m_state.hard.term = 1;
     return absl::OkStatus();
@@ -246,11 +246,11 @@
     loaded_log loaded = loadRecords(pathOf(logName), m_state);
     if (!loaded.status.ok())
         return loaded.status;
-    m_logBytes = loaded.wholeBytes;
+    m_logBytes = loaded.validBytes;
     m_hard = m_state.hard;
     if (std::filesystem::exists(pathOf(logName))
         && ::truncate(pathOf(logName).c_str(), static_cast<off_t>(m_logBytes)) != 0)
-        return failure("truncate", logName);
+        return ioError("truncate", logName);
     return absl::OkStatus();
 }
 
@@ -260,9 +260,9 @@
         ::close(m_logFile);
     m_logFile = ::open(pathOf(logName).c_str(), O_CREAT | O_WRONLY | O_APPEND | O_CLOEXEC, 0600);
     if (m_logFile < 0)
-        return failure("open", logName);
+        return ioError("open", logName);
     if (::fsync(m_logFile) != 0)
-        return failure("sync", logName);
+        return ioError("sync", logName);
     return absl::OkStatus();
 }
 
@@ -274,7 +274,7 @@
         if (count < 0 && errno == EINTR)
             continue;
         if (count <= 0)
-            return failure("write", logName);
+            return ioError("write", logName);
         written += static_cast<std::size_t>(count);
     }
     return absl::OkStatus();
@@ -285,21 +285,21 @@
     std::string temporary = name + ".new";
     int file = ::open(pathOf(temporary).c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0600);
     if (file < 0)
-        return failure("open", temporary);
+        return ioError("open", temporary);
     absl::Status status = writeAll(file, bytes);
     if (status.ok() && ::fsync(file) != 0)
-        status = failure("sync", temporary);
+        status = ioError("sync", temporary);
     ::close(file);
     if (!status.ok())
         return status;
     if (::rename(pathOf(temporary).c_str(), pathOf(name).c_str()) != 0)
-        return failure("rename", temporary);
+        return ioError("rename", temporary);
     int folder = ::open(m_folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (folder < 0)
-        return failure("open", "");
+        return ioError("open", "");
     bool synced = ::fsync(folder) == 0;
     ::close(folder);
-    return synced ? absl::OkStatus() : failure("sync", "");
+    return synced ? absl::OkStatus() : ioError("sync", "");
 }
 
 absl::Status durable_log::persist(const core::raft_output& work)
@@ -322,20 +322,20 @@
     if (auto status = writeAll(m_logFile, bytes); !status.ok())
         return status;
     if (::fdatasync(m_logFile) != 0)
-        return failure("sync", logName);
+        return ioError("sync", logName);
     m_logBytes += bytes.size();
     return absl::OkStatus();
 }
 
 absl::Status durable_log::compact(const core::raft_snapshot& snapshot, const core::hard_state& hard,
-    const std::vector<core::log_entry>& rest)
+    const std::vector<core::log_entry>& entries)
 {
     std::string bytes = frame(wire::encode<wire::RaftSnapshot>(snapshot));
     if (auto status = writeFileAtomically(snapshotName, bytes); !status.ok())
         return status;
     m_snapshotBytes = bytes.size();
     m_hard = hard;
-    return rewriteLog(hard, rest);
+    return rewriteLog(hard, entries);
 }
 
 absl::Status durable_log::rewriteLog(
@@ -350,15 +350,15 @@
     return openLogForAppend();
 }
 
-bool durable_log::hasRoom() const
+bool durable_log::hasFreeSpace() const
 {
-    if (m_maxBytes > 0 && m_logBytes + m_snapshotBytes + reserveBytes > m_maxBytes)
+    if (m_maxBytes > 0 && m_logBytes + m_snapshotBytes + reservedBytes > m_maxBytes)
         return false;
     struct statvfs disk { };
     if (::statvfs(m_folder.c_str(), &disk) != 0)
         return false;
     std::uint64_t free = static_cast<std::uint64_t>(disk.f_bavail) * disk.f_frsize;
-    return free > reserveBytes + m_snapshotBytes;
+    return free > reservedBytes + m_snapshotBytes;
 }
 
 } // namespace plumfold::control
--- a/packages/control/src/plumfold_kj_completion.hpp
+++ b/packages/control/src/plumfold_kj_completion.hpp
@@ -18,7 +18,7 @@
 
     ~kj_completion() noexcept override { }
 
-    void done(T answer) override { m_fulfiller->fulfill(kj::mv(answer)); }
+    void done(T response) override { m_fulfiller->fulfill(kj::mv(response)); }
 
 private:
     kj::Own<kj::CrossThreadPromiseFulfiller<T>> m_fulfiller;
@@ -26,10 +26,10 @@
 
 /// Posts an event that has an `answer` member to the control duty.
 /// @return a promise for the answer; it fails when the duty's ring is full.
-template <class T, class Event> kj::Promise<T> ask(control_node& node, Event event)
+template <class T, class Event> kj::Promise<T> postEvent(control_node& node, Event event)
 {
     auto pair = kj::newPromiseAndCrossThreadFulfiller<T>();
-    event.answer = std::make_unique<kj_completion<T>>(kj::mv(pair.fulfiller));
+    event.callback = std::make_unique<kj_completion<T>>(kj::mv(pair.fulfiller));
     if (!node.post(std::move(event)))
         return kj::Exception(kj::Exception::Type::OVERLOADED, __FILE__, __LINE__,
             kj::str("the control VM is overloaded: try again"));
--- a/packages/control/src/plumfold_leader_client.cpp
+++ b/packages/control/src/plumfold_leader_client.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::chrono::milliseconds connectTimeout { 250 };
 constexpr std::chrono::milliseconds attemptTimeout { 700 };
-constexpr auto retryPause = 40 * kj::MILLISECONDS;
+constexpr auto retryDelay = 40 * kj::MILLISECONDS;
 
 } // namespace
 
@@ -23,80 +23,82 @@
 {
 }
 
-kj::Promise<propose_answer> leader_client::submitTo(const std::string& address, const core::command& what)
+kj::Promise<propose_response> leader_client::submitTo(
+    const std::string& address, const core::command& command)
 {
-    auto& known = m_links[address];
+    auto& cached = m_links[address];
     kj::Promise<void> ready = kj::READY_NOW;
-    if (known.session == nullptr) {
+    if (cached.session == nullptr) {
         ready = wire::rpc_connection::connect(m_rpc, address, connectTimeout)
                     .then([this, address](kj::Own<wire::rpc_connection> connection) {
                         auto request = connection->bootstrap<wire::Control>().entryRequest();
                         request.setSecret(m_settings.process.clusterSecret);
                         request.setName(m_settings.process.name);
                         request.setFailureDomain(m_settings.process.failureDomain);
-                        auto& made = m_links[address];
-                        m_tasks.add(kj::evalLater([old = kj::mv(made.connection)] {}));
-                        made.session = request.send().getSession();
-                        made.connection = kj::mv(connection);
+                        auto& opened = m_links[address];
+                        m_tasks.add(kj::evalLater([old = kj::mv(opened.connection)] {}));
+                        opened.session = request.send().getSession();
+                        opened.connection = kj::mv(connection);
                     });
     }
-    auto sent = ready.then([this, address, what]() -> kj::Promise<propose_answer> {
+    auto sent = ready.then([this, address, command]() -> kj::Promise<propose_response> {
         auto request = KJ_ASSERT_NONNULL(m_links[address].session).submitRequest();
-        wire::write(request.initCommand(), what);
+        wire::write(request.initCommand(), command);
         return wire::withTimeout(m_rpc, request.send().dropPipeline(), attemptTimeout)
             .then([](capnp::Response<wire::EntrySession::SubmitResults> response) {
-                propose_answer answer;
-                answer.accepted = response.getReply().getAccepted();
-                answer.leaderAddress = response.getReply().getLeaderAddress().cStr();
-                answer.message = response.getReply().getMessage().cStr();
-                answer.logIndex = response.getReply().getLogIndex();
-                answer.result = wire::read(response.getResult());
-                return answer;
+                propose_response result;
+                result.accepted = response.getReply().getAccepted();
+                result.leaderAddress = response.getReply().getLeaderAddress().cStr();
+                result.message = response.getReply().getMessage().cStr();
+                result.logIndex = response.getReply().getLogIndex();
+                result.result = wire::read(response.getResult());
+                return result;
             });
     });
-    return sent.catch_([this, address](kj::Exception&& exception) -> kj::Promise<propose_answer> {
-        auto& broken = m_links[address];
-        broken.session = nullptr;
+    return sent.catch_([this, address](kj::Exception&& exception) -> kj::Promise<propose_response> {
+        auto& failed = m_links[address];
+        failed.session = nullptr;
         // The connection must not be destroyed inside one of its own callbacks.
-        m_tasks.add(kj::evalLater([old = kj::mv(broken.connection)] {}));
+        m_tasks.add(kj::evalLater([old = kj::mv(failed.connection)] {}));
         return kj::mv(exception);
     });
 }
 
-kj::Promise<propose_answer> leader_client::submitOnce(const core::command& what)
+kj::Promise<propose_response> leader_client::submitOnce(const core::command& command)
 {
     const auto& view = m_feed.view();
-    if (view.leads)
-        return ask<propose_answer>(m_node, propose_event { what, {} });
+    if (view.isLeader)
+        return postEvent<propose_response>(m_node, propose_event { command, {} });
     if (view.leaderAddress.empty() || view.leaderAddress == m_settings.control->address)
-        return propose_answer {};
-    return submitTo(view.leaderAddress, what);
+        return propose_response {};
+    return submitTo(view.leaderAddress, command);
 }
 
-kj::Promise<propose_answer> leader_client::submitUntil(core::command what, kj::TimePoint deadline)
+kj::Promise<propose_response> leader_client::submitUntil(core::command command, kj::TimePoint deadline)
 {
-    auto once = submitOnce(what).catch_([](kj::Exception&&) { return propose_answer {}; });
-    return once.then([this, what, deadline](propose_answer answer) mutable -> kj::Promise<propose_answer> {
-        if (answer.accepted)
-            return kj::mv(answer);
-        KJ_REQUIRE(m_rpc.timer().now() + retryPause < deadline, "no leader accepted the command in time");
-        return m_rpc.timer().afterDelay(retryPause).then([this, what, deadline] {
-            return submitUntil(what, deadline);
+    auto attempt = submitOnce(command).catch_([](kj::Exception&&) { return propose_response {}; });
+    return attempt.then(
+        [this, command, deadline](propose_response response) mutable -> kj::Promise<propose_response> {
+            if (response.accepted)
+                return kj::mv(response);
+            KJ_REQUIRE(m_rpc.timer().now() + retryDelay < deadline, "no leader accepted the command in time");
+            return m_rpc.timer().afterDelay(retryDelay).then([this, command, deadline] {
+                return submitUntil(command, deadline);
+            });
         });
-    });
 }
 
-kj::Promise<propose_answer> leader_client::submit(core::command what, kj::Duration atMost)
+kj::Promise<propose_response> leader_client::submit(core::command command, kj::Duration timeout)
 {
-    auto deadline = m_rpc.timer().now() + atMost;
-    return m_rpc.timer().timeoutAfter(atMost, submitUntil(std::move(what), deadline));
+    auto deadline = m_rpc.timer().now() + timeout;
+    return m_rpc.timer().timeoutAfter(timeout, submitUntil(std::move(command), deadline));
 }
 
-kj::Promise<void> leader_client::confirm(kj::Duration atMost)
+kj::Promise<void> leader_client::confirm(kj::Duration timeout)
 {
-    return submit(core::command { 0, core::barrier_command {} }, atMost)
-        .then(
-            [this, atMost](propose_answer answer) { return m_feed.waitForApplied(answer.logIndex, atMost); });
+    return submit(core::command { 0, core::barrier_command {} }, timeout)
+        .then([this, timeout](
+                  propose_response response) { return m_feed.waitForApplied(response.logIndex, timeout); });
 }
 
 } // namespace plumfold::control
--- a/packages/control/src/plumfold_leader_client.hpp
+++ b/packages/control/src/plumfold_leader_client.hpp
@@ -13,16 +13,16 @@
     /// Submits a command until it is accepted. A command may be applied more than once, so its kind must bear
     /// that.
     /// @return the answer, or a failure when none accepted it in time: it may have been applied all the same.
-    kj::Promise<propose_answer> submit(core::command what, kj::Duration atMost);
+    kj::Promise<propose_response> submit(core::command command, kj::Duration timeout);
 
     /// Waits until this control VM holds everything that was in force when the call came.
     /// @return a promise that fails when no quorum confirmed that in time.
-    kj::Promise<void> confirm(kj::Duration atMost);
+    kj::Promise<void> confirm(kj::Duration timeout);
 
 private:
-    kj::Promise<propose_answer> submitUntil(core::command what, kj::TimePoint deadline);
-    kj::Promise<propose_answer> submitOnce(const core::command& what);
-    kj::Promise<propose_answer> submitTo(const std::string& address, const core::command& what);
+    kj::Promise<propose_response> submitUntil(core::command command, kj::TimePoint deadline);
+    kj::Promise<propose_response> submitOnce(const core::command& command);
+    kj::Promise<propose_response> submitTo(const std::string& address, const core::command& command);
 
     struct link {
         kj::Own<wire::rpc_connection> connection;
--- a/packages/control/src/plumfold_peer_links.cpp
+++ b/packages/control/src/plumfold_peer_links.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-/// How often a peer is told everything again, so that it knows which targets are still heard.
+/// Interval at which a peer is sent all announcements, so that targets do not time out there.
 constexpr core::milliseconds shareAllInterval { 1500 };
-/// How often a peer is told of the stores and engines that this control VM reads.
+/// Interval at which a peer is sent the KV parts of the stores and engines that this control VM reads.
 constexpr core::milliseconds sharePartsInterval { 150 };
 constexpr unsigned maxInFlight = 64;
 constexpr std::chrono::milliseconds connectTimeout { 500 };
 constexpr std::chrono::milliseconds callTimeout { 2000 };
-constexpr std::chrono::milliseconds reconnectPause { 100 };
+constexpr std::chrono::milliseconds reconnectDelay { 100 };
 
 } // namespace
 
 peer_links::peer_links(wire::rpc_thread& rpc, const runtime::settings& settings)
     : m_rpc(rpc)
-    , m_self(settings.control->address)
+    , m_ownAddress(settings.control->address)
     , m_failureDomain(settings.process.failureDomain)
     , m_secret(settings.process.clusterSecret)
 {
     for (const auto& peer : settings.control->peers)
         m_links[peer.name].address = peer.address;
     for (const auto& seed : runtime::seedAddresses(*settings.control)) {
-        if (seed != m_self)
+        if (seed != m_ownAddress)
             m_links[seed].address = seed;
     }
 }
@@ -36,7 +36,7 @@
 {
     if (message.to.empty()) {
         for (auto& [name, each] : m_links)
-            sendOn(each, message);
+            sendTo(each, message);
         return;
     }
     auto found = m_links.find(message.to);
@@ -47,13 +47,13 @@
         found->second.address = message.to;
     }
     if (found != m_links.end())
-        sendOn(found->second, message);
+        sendTo(found->second, message);
 }
 
-void peer_links::learn(const core::raft_membership& members)
+void peer_links::addMembers(const core::raft_membership& members)
 {
     for (const auto& member : members.members) {
-        if (member.address != m_self)
+        if (member.address != m_ownAddress)
             m_links[member.node].address = member.address;
     }
 }
@@ -61,10 +61,10 @@
 void peer_links::share(const deployment_feed& feed)
 {
     for (auto& [name, each] : m_links)
-        shareOn(each, feed);
+        shareWith(each, feed);
 }
 
-void peer_links::shareOn(link& to, const deployment_feed& feed)
+void peer_links::shareWith(link& to, const deployment_feed& feed)
 {
     if (to.peer == nullptr) {
         if (!to.connecting)
@@ -73,25 +73,25 @@
     }
     auto now = runtime::now();
     bool all = now - to.sharedAllAt > shareAllInterval;
-    std::vector<const core::target_announcement*> told;
+    std::vector<const core::target_announcement*> announcements;
     for (const auto& [name, entry] : feed.directory().entries()) {
         if (entry.isDirect && (all || entry.change > to.sharedChange))
-            told.push_back(&entry.last);
+            announcements.push_back(&entry.last);
     }
-    auto own = feed.ownHolders();
+    auto holders = feed.ownHolders();
     auto loads = feed.loads(true);
-    bool partsDue = !(own.empty() && loads.empty()) && now - to.sharedPartsAt > sharePartsInterval;
-    if (to.sharing || (told.empty() && !all && !partsDue))
+    bool partsDue = !(holders.empty() && loads.empty()) && now - to.sharedPartsAt > sharePartsInterval;
+    if (to.shareInFlight || (announcements.empty() && !all && !partsDue))
         return;
     auto request = KJ_ASSERT_NONNULL(to.peer).shareRequest();
-    request.setAddress(m_self);
+    request.setAddress(m_ownAddress);
     request.setFailureDomain(m_failureDomain);
     request.setEntries(feed.followerCount());
-    auto targets = request.initTargets(told.size());
-    for (unsigned index = 0; index < told.size(); ++index)
-        wire::write(targets[index], *told[index]);
+    auto targets = request.initTargets(announcements.size());
+    for (unsigned index = 0; index < announcements.size(); ++index)
+        wire::write(targets[index], *announcements[index]);
     std::vector<core::part_update> parts;
-    for (const auto& holder : own) {
+    for (const auto& holder : holders) {
         auto& cursor = to.sharedParts[holder];
         cursor.holder = holder;
         parts.push_back(feed.parts().updateAfter(cursor, now));
@@ -102,29 +102,29 @@
     auto outLoads = request.initLoads(loads.size());
     for (unsigned index = 0; index < loads.size(); ++index)
         wire::write(outLoads[index], loads[index]);
-    if (!own.empty())
+    if (!holders.empty())
         request.setClock(feed.targetClock());
-    to.sharing = true;
+    to.shareInFlight = true;
     auto change = feed.directory().latestChange();
     std::uint64_t generation = to.generation;
     auto sent = wire::withTimeout(m_rpc, request.send().ignoreResult(), callTimeout);
     m_tasks.add(sent.then(
         [&to, change, all, now, parts = std::move(parts)] {
-            to.sharing = false;
+            to.shareInFlight = false;
             to.sharedPartsAt = now;
-            for (const auto& news : parts)
-                to.sharedParts[news.holder] = { news.holder, news.generation, news.count };
+            for (const auto& update : parts)
+                to.sharedParts[update.holder] = { update.holder, update.generation, update.count };
             to.sharedChange = change;
             if (all)
                 to.sharedAllAt = now;
         },
         [this, &to, generation](kj::Exception&&) {
-            to.sharing = false;
+            to.shareInFlight = false;
             disconnect(to, generation);
         }));
 }
 
-void peer_links::sendOn(link& to, const core::raft_message& message)
+void peer_links::sendTo(link& to, const core::raft_message& message)
 {
     KJ_IF_MAYBE (peer, to.peer) {
         if (to.inFlight >= maxInFlight)
@@ -156,7 +156,7 @@
         ++to.generation;
     });
     m_tasks.add(ready.catch_([this, &to](kj::Exception&&) {
-        return m_rpc.timer().afterDelay(reconnectPause.count() * kj::MILLISECONDS).then([&to] {
+        return m_rpc.timer().afterDelay(reconnectDelay.count() * kj::MILLISECONDS).then([&to] {
             to.connecting = false;
         });
     }));
--- a/packages/control/src/plumfold_peer_links.hpp
+++ b/packages/control/src/plumfold_peer_links.hpp
@@ -23,7 +23,7 @@
     void send(const core::raft_message& message);
 
     /// Adds the members of the group that are not known yet.
-    void learn(const core::raft_membership& members);
+    void addMembers(const core::raft_membership& members);
 
     /// Tells every peer what this control VM heard of targets and was not told to that peer yet.
     void share(const deployment_feed& feed);
@@ -36,20 +36,20 @@
         bool connecting = false;
         unsigned inFlight = 0;
         std::uint64_t generation = 0; // of the connection; late failures of an earlier one are ignored
-        bool sharing = false;
+        bool shareInFlight = false;
         std::uint64_t sharedChange = 0; // latest change that the peer was told
         core::instant sharedAllAt {};
         core::instant sharedPartsAt {};
         std::map<std::string, core::part_cursor> sharedParts; // what the peer was told of holders
     };
 
-    void shareOn(link& to, const deployment_feed& feed);
-    void sendOn(link& to, const core::raft_message& message);
+    void shareWith(link& to, const deployment_feed& feed);
+    void sendTo(link& to, const core::raft_message& message);
     void connect(link& to);
     void disconnect(link& to, std::uint64_t generation);
 
     wire::rpc_thread& m_rpc;
-    std::string m_self; // our address
+    std::string m_ownAddress;
     std::string m_failureDomain;
     std::string m_secret;
     std::map<std::string, link> m_links;
--- a/packages/control/src/plumfold_weights_duty.cpp
+++ b/packages/control/src/plumfold_weights_duty.cpp
@@ -53,7 +53,7 @@
     return m_rpc.run([this] {
         std::vector<outdated_target> outdated;
         const auto& view = m_feed.view();
-        if (!view.leads || !view.fresh)
+        if (!view.isLeader || !view.isCaughtUp)
             return outdated;
         for (const auto& [name, entry] : m_feed.directory().entries()) {
             if (entry.last.state != core::target_state::ready)
--- a/packages/plumfoldd/src/plumfoldd_main.cpp
+++ b/packages/plumfoldd/src/plumfoldd_main.cpp
@@ -74,7 +74,7 @@
         reload(file, forwarding.get());
     log_event("stopping");
     if (control)
-        control->handOver();
+        control->transferLeadership();
     if (entry)
         entry->drain();
     if (forwarding)
