--- a/packages/control/include/plumfold/control/plumfold_control_node.hpp
+++ b/packages/control/include/plumfold/control/plumfold_control_node.hpp
@@ -15,41 +15,41 @@
 
 namespace plumfold::control {
 
-/// Receives the answer of a call, once, on the control duty thread.
+/// Receives the response to an event, at most once, on the control thread.
 template <class T> class completion {
 public:
     virtual ~completion() = default;
     virtual void done(T response) = 0;
 };
 
-/// The answer to a proposed command.
+/// Response to a proposed command.
 struct propose_response {
-    bool accepted = false; ///< false: this node did not take the command and it will never be applied.
-    std::string leaderAddress;
-    std::string message;
+    bool accepted = false; ///< true: committed and applied; false: this proposal will never be applied.
+    std::string leaderAddress; ///< Set if not accepted and the leader is known.
+    std::string message; ///< Why the command was not accepted and what to do.
     core::command_result result;
-    std::uint64_t logIndex = 0; ///< accepted: where the command stands in the log.
+    std::uint64_t logIndex = 0; ///< Index of the command in the log, if accepted.
 };
 
-/// What a control VM holds and how current that is.
+/// Applied state of a control VM and its view of the group.
 struct control_view {
     std::shared_ptr<const core::deployment_state> deployment;
     std::uint64_t appliedIndex = 0;
-    bool isCaughtUp = false; ///< In touch with a quorum.
+    bool isCaughtUp = false; ///< See core::raft_node::isCaughtUp().
     bool isLeader = false;
     std::uint64_t term = 0;
-    std::string leaderAddress; ///< Empty while none is known.
+    std::string leaderAddress; ///< Empty while no leader is known.
     core::raft_membership members;
 };
 
-/// The answer to a watch.
+/// Response to a watch.
 struct watch_response {
     core::configuration_update update;
-    bool isCaughtUp = false; ///< Whether this node was in touch with a quorum.
+    bool isCaughtUp = false; ///< See core::raft_node::isCaughtUp().
     std::vector<core::verdict> verdicts;
 };
 
-/// What this node knows of itself and the system.
+/// Raft status of a node and statistics of its applied state.
 struct status_response {
     std::string node;
     core::raft_role role = core::raft_role::follower;
@@ -63,25 +63,31 @@
     std::vector<core::audit_record> audit;
 };
 
+/// A Raft message from another control VM.
 struct peer_message_event {
     core::raft_message message;
 };
+/// Proposes a command for the replicated log. Completes once the command is applied or rejected.
 struct propose_event {
     core::command command;
     std::unique_ptr<completion<propose_response>> callback;
 };
+/// Waits for a change of the configuration. Completes at once if revision or digest differ from the known
+/// ones.
 struct watch_event {
     std::uint64_t knownRevision = 0;
     std::uint64_t knownDigest = 0;
-    core::instant deadline {};
+    core::instant deadline {}; ///< When to respond even if the configuration has not changed.
     std::unique_ptr<completion<watch_response>> callback;
 };
 struct status_event {
     std::unique_ptr<completion<status_response>> callback;
 };
+/// Creates a group with this node as its only voter.
 struct bootstrap_event {
     std::unique_ptr<completion<propose_response>> callback;
 };
+/// Transfers leadership to another voter before a planned stop.
 struct transfer_leadership_event { };
 
 using control_event = std::variant<transfer_leadership_event, peer_message_event, propose_event, watch_event,
@@ -89,28 +95,31 @@
 
 /// Options of one control VM.
 struct control_node_options {
-    std::string name;
-    std::string address;
-    core::milliseconds electionTimeout { 400 };
-    std::uint64_t snapshotEveryEntries = 10'000;
-    std::uint64_t seed = 1;
+    std::string name; ///< Raft node name.
+    std::string address; ///< ip:port at which the node accepts RPC connections.
+    core::milliseconds electionTimeout { 400 }; ///< See core::raft_options.
+    std::uint64_t snapshotEveryEntries = 10'000; ///< Applied entries after which the log is compacted.
+    std::uint64_t seed = 1; ///< Of the random election timeouts.
 };
 
-/// The control duty: one thread that owns the replicated log, its files and the state behind it. Other
-/// threads hand it events through a bounded ring.
+/// Runs a Raft node on a thread of its own, the control thread, which owns the write-ahead log and the state
+/// machine. Other threads post events to it through a bounded queue.
 class control_node {
 public:
     using sender = std::function<void(std::vector<core::raft_message>)>;
     using view_listener = std::function<void(control_view)>;
 
-    /// @param send takes messages for other control VMs; called on the duty thread.
-    /// @param viewed is told every change of the view; called on the duty thread.
-    /// @param failed called once when the disk fails; the process must end.
+    /// @param log the opened data folder, whose state has not been taken yet.
+    /// @param send sends messages to other control VMs; called on the control thread.
+    /// @param onViewChanged called on the control thread with each changed view.
+    /// @param onDiskFailure called on the control thread when the log or a snapshot cannot be written; the
+    /// process must exit.
     control_node(control_node_options options, std::unique_ptr<durable_log> log, sender send,
         view_listener onViewChanged, std::function<void(const std::string&)> onDiskFailure);
     ~control_node();
 
-    /// @return false when the ring is full: the caller must answer "not accepted".
+    /// Queues an event for the control thread.
+    /// @return false if the queue is full or closed. The event is dropped and its callback is not called.
     bool post(control_event event) { return m_ring.tryPush(std::move(event)); }
 
 private:
@@ -126,6 +135,7 @@
     void handle(watch_event& event);
     void handle(status_event& event);
     void handle(bootstrap_event& event);
+    // Returns false if the log cannot be written.
     bool processOutput();
     void apply(const core::log_entry& entry);
     void completeWatches();
@@ -145,10 +155,10 @@
     core::unix_milliseconds m_lastCommandTime = 0;
     sender m_send;
     view_listener m_onViewChanged;
-    control_view m_view; // as last told
+    control_view m_view; // as last published
     core::raft_role m_loggedRole = core::raft_role::follower;
     std::function<void(const std::string&)> m_onDiskFailure;
-    std::map<std::uint64_t, pending_proposal> m_proposals;
+    std::map<std::uint64_t, pending_proposal> m_proposals; // by log index
     std::vector<watch_event> m_watches;
     runtime::bounded_ring<control_event> m_ring;
     std::atomic<bool> m_stopping { false };
--- a/packages/control/include/plumfold/control/plumfold_durable_log.hpp
+++ b/packages/control/include/plumfold/control/plumfold_durable_log.hpp
@@ -10,43 +10,50 @@
 
 namespace plumfold::control {
 
-/// The data folder of one control VM: identity, lock, snapshot and write-ahead log. Nothing counts as written
-/// before sync() has returned OK.
+/// The data folder of one control VM: identity, lock file, snapshot and write-ahead log. A write is durable
+/// once the function that makes it has returned OK: all of them fsync.
 class durable_log {
 public:
-    /// Opens a data folder, creating it when it does not exist. A torn write at the end of the log is cut
-    /// off.
-    /// @param maxBytes changes are refused beyond; 0 for no limit.
-    /// @return failed_precondition when another process uses the folder, data_loss when a record in the
-    /// middle is damaged; the message names the remedy.
+    /// Opens and locks a data folder, creating it if it does not exist, and loads its state. A torn write at
+    /// the end of the log is truncated.
+    /// @param maxBytes size of log and snapshot beyond which hasFreeSpace() returns false; 0: no limit.
+    /// @return failed_precondition if another process has locked the folder; data_loss if the identity is
+    /// missing, or the snapshot or a record before the end of the log is corrupt; unavailable after an I/O
+    /// error. The message names the remedy.
     static absl::StatusOr<std::unique_ptr<durable_log>> open(
         const std::string& folder, std::uint64_t maxBytes);
 
-    /// Reads a folder without changing it.
+    /// Reads the state of a data folder without locking or changing it.
+    /// @return not_found if it is not a data folder; data_loss if the snapshot or a log record is corrupt.
     static absl::StatusOr<core::raft_disk_state> inspect(const std::string& folder);
 
     ~durable_log();
     durable_log(const durable_log&) = delete;
     durable_log& operator=(const durable_log&) = delete;
 
-    /// @return what the folder held when it was opened.
+    /// Moves out the state that was loaded by open(). To be called once.
     core::raft_disk_state takeState() { return std::move(m_state); }
 
     /// Bootstraps the group with a fixed list of voters, as each of them does by itself when the whole system
     /// starts for the first time. Does nothing if the folder already holds state.
     /// @param initialMembers addresses of all initial voters, including this VM's; the same list on each.
+    /// @return unavailable after an I/O error.
     absl::Status bootstrap(const std::vector<std::string>& initialMembers);
 
-    /// Writes the persistent part of a node's work and syncs it.
+    /// Appends the persistent part of a node's output to the log and syncs it. A snapshot to install replaces
+    /// the log instead.
+    /// @return unavailable after an I/O error.
     absl::Status persist(const core::raft_output& work);
 
-    /// Replaces the log up to the snapshot's index.
-    /// @param hard the present hard state.
+    /// Writes a snapshot, then rewrites the log without the entries that it covers.
+    /// @param hard the current hard state.
     /// @param entries the entries after the snapshot.
+    /// @return unavailable after an I/O error.
     absl::Status compact(const core::raft_snapshot& snapshot, const core::hard_state& hard,
         const std::vector<core::log_entry>& entries);
 
-    /// @return whether there is room for a change.
+    /// @return whether the size limit and the file system leave space for another command, besides the
+    /// reserve for hard states, truncations and the next snapshot.
     bool hasFreeSpace() const;
     std::uint64_t logBytes() const { return m_logBytes; }
 
--- a/packages/control/src/plumfold_control_node.cpp
+++ b/packages/control/src/plumfold_control_node.cpp
@@ -60,7 +60,7 @@
     auto nextTick = runtime::now();
     while (!m_stopping) {
         auto event = m_ring.pop(std::max(nextTick - runtime::now(), std::chrono::steady_clock::duration(0)));
-        // All events at hand share one sync.
+        // Handles the queued events as a batch, so that they share one fsync.
         for (std::size_t count = 0; event && count < maxEventsPerSync; ++count) {
             std::visit([&](auto& each) { handle(each); }, *event);
             event = m_ring.pop(std::chrono::steady_clock::duration(0));
--- a/packages/control/src/plumfold_durable_log.cpp
+++ b/packages/control/src/plumfold_durable_log.cpp
@@ -24,10 +24,11 @@
 constexpr const char* lockName = "lock";
 constexpr const char* snapshotName = "snapshot";
 constexpr const char* logName = "log";
-constexpr std::uint64_t initialIncarnation = 1; // a later disk of the same VM draws a random one
-constexpr std::size_t headerBytes = 12; // length (4) and checksum (8)
-constexpr std::uint64_t reservedBytes = 64 << 10; // kept free for votes and truncations
+constexpr std::uint64_t initialIncarnation = 1; // a replaced data folder gets a random one
+constexpr std::size_t headerBytes = 12; // length (4 bytes) and checksum (8 bytes)
+constexpr std::uint64_t reservedBytes = 64 << 10; // for hard states and truncations on a full disk
 
+/// @return a log record: length, checksum and payload.
 std::string frame(const std::string& payload)
 {
     auto length = static_cast<std::uint32_t>(payload.size());
@@ -45,8 +46,9 @@
     std::string_view payload;
 };
 
-/// Reads the record at an offset. A record that reaches beyond the end, or a bad one that is the last, was
-/// torn by a crash; a bad one with others after it is damage.
+/// Reads the record at an offset. A record is a torn write, left by a crash, if it extends beyond the end of
+/// the file, if its checksum is wrong and it is the last one, or if only zeros follow from its start on. Any
+/// other record with a wrong checksum is corrupt.
 frame_result readFrame(std::string_view bytes, std::size_t offset)
 {
     if (offset == bytes.size())
@@ -91,9 +93,10 @@
 
 struct loaded_log {
     absl::Status status;
-    std::size_t validBytes = 0;
+    std::size_t validBytes = 0; ///< Size of the log without a torn write at its end.
 };
 
+/// Replays the log into a state, up to its end or a torn write.
 loaded_log loadRecords(const std::string& path, core::raft_disk_state& state)
 {
     loaded_log result;
@@ -199,7 +202,7 @@
 {
     std::string identity = readFile(pathOf(identityName));
     if (identity.empty()) {
-        // A folder with a log but no identity has lost files; a new identity would hide that.
+        // A log without an identity means that files were lost; creating a new identity would hide the loss.
         if (std::filesystem::exists(pathOf(logName)))
             return absl::DataLossError(absl::StrCat(m_folder,
                 ": the identity is missing: move the data folder away and start with an empty one"));
