--- a/packages/control/include/plumfold/control/plumfold_control_role.hpp
+++ b/packages/control/include/plumfold/control/plumfold_control_role.hpp
@@ -11,16 +11,20 @@
 
 namespace plumfold::control {
 
-/// The control role of a process: the control duty, its data folder and its calls.
+/// The control role of a process: its data folder, its Raft node and the RPC interface. With a platform
+/// address, also the platform interface and the loading of weights.
 class control_role {
 public:
-    /// @param failed called when the disk fails; the process must end.
+    /// Opens the data folder, bootstraps it on the first start of the whole system, and starts serving.
+    /// @param onDiskFailure called on the control thread when the data folder cannot be written; the process
+    /// must exit.
+    /// @return the errors of durable_log::open() and durable_log::bootstrap().
     static absl::StatusOr<std::unique_ptr<control_role>> start(const runtime::settings& settings,
         wire::rpc_thread& rpc, std::function<void(const std::string&)> onDiskFailure);
 
     ~control_role();
 
-    /// Gives leadership away for a planned stop.
+    /// Transfers leadership to another control VM before a planned stop. Does not wait for the transfer.
     void transferLeadership();
 
 private:
--- a/packages/control/src/plumfold_control_role.cpp
+++ b/packages/control/src/plumfold_control_role.cpp
@@ -33,7 +33,7 @@
             m_tasks = std::make_unique<wire::task_group>();
         });
         control_node_options options;
-        // Founders know each other by address only.
+        // Initial members know each other by address only, so the address is the Raft node name.
         bool hasSeeds = !m_settings.control->seeds.empty();
         options.name = hasSeeds ? m_settings.control->address : m_settings.process.name;
         options.address = m_settings.control->address;
@@ -73,7 +73,7 @@
 
     ~impl()
     {
-        // First no new calls, then the duty, then what the duty sends through.
+        // Stop accepting calls first, then the control thread, then close the connections it sends through.
         m_front.reset();
         m_weights.reset();
         m_parts.reset();
--- a/packages/control/src/plumfold_control_service.cpp
+++ b/packages/control/src/plumfold_control_service.cpp
@@ -86,8 +86,8 @@
         event.deadline = runtime::now() + core::milliseconds(std::min(params.getWaitMs(), maxWatchMs));
         if (!params.getLinearizable())
             return respondToWatch(call, std::move(event));
-        // The barrier shows that this node led when the call came, so its state is not older than any known
-        // one.
+        // A committed barrier shows that this node was the leader after the call arrived, so its state
+        // includes every change committed before the call.
         return postEvent<propose_response>(
             m_context.node, propose_event { core::command { 0, core::barrier_command {} }, {} })
             .then([this, call, event = std::move(event)](
@@ -120,7 +120,7 @@
             ready = m_context.leader.confirm(confirmTimeout);
         return ready.then([this, call]() mutable {
             auto params = call.getParams();
-            // A feed of an earlier life numbers its changes otherwise.
+            // Each incarnation of a feed numbers its changes anew, so an unknown one gets a snapshot.
             std::uint64_t change = params.getFeed() == m_context.feed.id() ? params.getKnownChange() : 0;
             auto wait = std::min(params.getWaitMs(), maxWatchMs) * kj::MILLISECONDS;
             return m_context.feed.waitForNews(params.getKnownDeployment(), change, wait)
@@ -246,7 +246,7 @@
             writeReply(call.getResults().initReply(), response);
             if (!response.accepted)
                 return kj::READY_NOW;
-            // A revision that cannot exist asks for everything.
+            // A revision that cannot exist requests the whole configuration.
             watch_event event;
             event.knownRevision = UINT64_MAX;
             return postEvent<watch_response>(m_context.node, std::move(event))
--- a/packages/control/src/plumfold_control_service.hpp
+++ b/packages/control/src/plumfold_control_service.hpp
@@ -15,24 +15,25 @@
 
 namespace plumfold::control {
 
-/// An entry as its watch calls show it.
+/// Status of an entry according to its latest watch call.
 struct entry_status {
     std::string failureDomain;
     std::uint64_t revision = 0;
     core::instant lastSeenAt {};
 };
 
-/// What all calls of one control VM share. Lives on the RPC duty.
+/// State shared by all RPC calls of one control VM. Accessed only on the RPC thread.
 struct service_context {
     const runtime::settings& settings;
     control_node& node;
     wire::rpc_thread& rpc;
     deployment_feed& feed;
     leader_client& leader;
-    std::map<std::string, entry_status> entries;
+    std::map<std::string, entry_status> entries; ///< By name.
 };
 
-/// @return the interface that a control VM serves to its callers.
+/// @return the RPC interface that a control VM serves to peers, entries and operators.
+/// @param context must outlive the interface.
 wire::Control::Client makeControlService(service_context& context);
 
 } // namespace plumfold::control
--- a/packages/control/src/plumfold_kj_completion.hpp
+++ b/packages/control/src/plumfold_kj_completion.hpp
@@ -8,7 +8,7 @@
 
 namespace plumfold::control {
 
-/// Carries an answer of the control duty to a promise on the RPC duty.
+/// Fulfills a promise on the RPC thread with a response from the control thread.
 template <class T> class kj_completion : public completion<T> {
 public:
     explicit kj_completion(kj::Own<kj::CrossThreadPromiseFulfiller<T>> fulfiller)
@@ -24,8 +24,8 @@
     kj::Own<kj::CrossThreadPromiseFulfiller<T>> m_fulfiller;
 };
 
-/// Posts an event that has an `answer` member to the control duty.
-/// @return a promise for the answer; it fails when the duty's ring is full.
+/// Posts an event that has a `callback` member to a control node.
+/// @return a promise for the response; it fails as overloaded if the node's queue is full.
 template <class T, class Event> kj::Promise<T> postEvent(control_node& node, Event event)
 {
     auto pair = kj::newPromiseAndCrossThreadFulfiller<T>();
--- a/packages/control/src/plumfold_leader_client.hpp
+++ b/packages/control/src/plumfold_leader_client.hpp
@@ -4,19 +4,22 @@
 
 namespace plumfold::control {
 
-/// Brings commands to the leader, wherever it is, from any control VM. Lives on the RPC duty.
+/// Submits commands to the leader from any control VM. Accessed only on the RPC thread.
 class leader_client {
 public:
     leader_client(
         wire::rpc_thread& rpc, const runtime::settings& settings, control_node& node, deployment_feed& feed);
 
-    /// Submits a command until it is accepted. A command may be applied more than once, so its kind must bear
-    /// that.
-    /// @return the answer, or a failure when none accepted it in time: it may have been applied all the same.
+    /// Submits a command and retries until it is accepted or the timeout expires. It may be applied more than
+    /// once, so it has to be idempotent.
+    /// @return a promise for the accepting response; it fails if there is none within the timeout, although
+    /// the command may have been applied.
     kj::Promise<propose_response> submit(core::command command, kj::Duration timeout);
 
-    /// Waits until this control VM holds everything that was in force when the call came.
-    /// @return a promise that fails when no quorum confirmed that in time.
+    /// Commits a barrier and waits until this control VM has applied it, and thereby every command that was
+    /// committed before this call.
+    /// @param timeout for the commit, and again for applying it.
+    /// @return a promise that fails if no quorum commits the barrier, or it is not applied, in time.
     kj::Promise<void> confirm(kj::Duration timeout);
 
 private:
--- a/packages/control/src/plumfold_peer_links.cpp
+++ b/packages/control/src/plumfold_peer_links.cpp
@@ -40,8 +40,8 @@
         return;
     }
     auto found = m_links.find(message.to);
-    // A VM that has just joined is called by a leader that it knows nothing of. Members that seeds have
-    // founded are named by their addresses.
+    // A new member receives messages from a leader that it does not know yet. In a group bootstrapped from
+    // seeds, a member's name is its address, so that it can respond.
     if (found == m_links.end() && message.to.find(':') != std::string::npos) {
         found = m_links.emplace(message.to, link {}).first;
         found->second.address = message.to;
--- a/packages/control/src/plumfold_peer_links.hpp
+++ b/packages/control/src/plumfold_peer_links.hpp
@@ -13,19 +13,21 @@
 
 namespace plumfold::control {
 
-/// Connections to the other control VMs. Lives on the RPC duty. Messages to a VM that cannot be reached or
-/// does not keep up are dropped; the replicated log sends again.
+/// Connections to the other control VMs. Accessed only on the RPC thread. Messages to a VM that is
+/// unreachable or does not keep up are dropped, which Raft tolerates: it retries.
 class peer_links {
 public:
     peer_links(wire::rpc_thread& rpc, const runtime::settings& settings);
 
-    /// Sends a message to its receiver, or to all peers when it names none.
+    /// Sends a message to its receiver, or to all peers if it names none.
     void send(const core::raft_message& message);
 
-    /// Adds the members of the group that are not known yet.
+    /// Adds new members of the group and updates the addresses of known ones.
     void addMembers(const core::raft_membership& members);
 
-    /// Tells every peer what this control VM heard of targets and was not told to that peer yet.
+    /// Sends each peer the changes of targets and KV parts that it has not received yet, and the loads of
+    /// targets. Covers only what this control VM has received directly, not from peers. To be called
+    /// regularly.
     void share(const deployment_feed& feed);
 
 private:
@@ -35,12 +37,12 @@
         kj::Maybe<wire::ControlPeer::Client> peer;
         bool connecting = false;
         unsigned inFlight = 0;
-        std::uint64_t generation = 0; // of the connection; late failures of an earlier one are ignored
+        std::uint64_t generation = 0; // of the connection; late failures of a previous one are ignored
         bool shareInFlight = false;
-        std::uint64_t sharedChange = 0; // latest change that the peer was told
+        std::uint64_t sharedChange = 0; // latest change of the directory that the peer has received
         core::instant sharedAllAt {};
         core::instant sharedPartsAt {};
-        std::map<std::string, core::part_cursor> sharedParts; // what the peer was told of holders
+        std::map<std::string, core::part_cursor> sharedParts; // by holder: changes that the peer has received
     };
 
     void shareWith(link& to, const deployment_feed& feed);
