--- a/tests/process/plumfold_control_tests.cpp
+++ b/tests/process/plumfold_control_tests.cpp
@@ -39,28 +39,28 @@
 
 } // namespace
 
-TEST_CASE_METHOD(control_system, "Of operators that race with equal revisions exactly one wins", "[control]")
+TEST_CASE_METHOD(
+    control_system, "Exactly one of several concurrent changes at the same revision is accepted", "[control]")
 {
-    std::vector<std::future<int>> racers;
+    std::vector<std::future<int>> writers;
     for (int index = 0; index < 6; ++index) {
-        racers.push_back(std::async(std::launch::async, [&, index] {
+        writers.push_back(std::async(std::launch::async, [&, index] {
             return put("race-" + std::to_string(index), { "--revision", "7" });
         }));
     }
-    int won = 0;
+    int accepted = 0;
     int conflicts = 0;
-    for (auto& racer : racers) {
-        int code = racer.get();
-        won += code == 0;
+    for (auto& writer : writers) {
+        int code = writer.get();
+        accepted += code == 0;
         conflicts += code == 4;
     }
-    CHECK(won == 1);
+    CHECK(accepted == 1);
     CHECK(conflicts == 5);
     CHECK(revision() == 8);
 }
 
-TEST_CASE_METHOD(
-    control_system, "A resent change is answered as the first time and applied once", "[control]")
+TEST_CASE_METHOD(control_system, "A retried change gets the same result and is applied once", "[control]")
 {
     CHECK(put("north", { "--revision", "7", "--request-id", "r1" }) == 0);
     process("control-" + std::to_string(leader())).kill();
@@ -68,8 +68,8 @@
     CHECK(revision() == 8);
 }
 
-TEST_CASE_METHOD(control_system,
-    "Accepted changes outlast the loss of the leader and are in force on every entry", "[control][kill]")
+TEST_CASE_METHOD(
+    control_system, "Accepted changes survive the loss of the leader and reach the entry", "[control][kill]")
 {
     for (int round = 0; round < 3; ++round) {
         REQUIRE(put("d" + std::to_string(round)) == 0);
@@ -82,8 +82,8 @@
     CHECK(revision() == 13);
 }
 
-TEST_CASE_METHOD(control_system,
-    "A leader that stood still for longer than every lease does not revert anything", "[control][pause]")
+TEST_CASE_METHOD(control_system, "A leader that is paused until another one is elected reverts nothing",
+    "[control][pause]")
 {
     int old = leader();
     process("control-" + std::to_string(old)).pause();
@@ -96,15 +96,14 @@
     waitForRevision(1, 9);
 }
 
-TEST_CASE_METHOD(
-    control_system, "An entry that restarts never serves an older configuration", "[control][entry]")
+TEST_CASE_METHOD(control_system, "A restarted entry never serves an older configuration", "[control][entry]")
 {
     REQUIRE(put("newest") == 0);
     process("entry-1").kill();
     startEntry(1);
     REQUIRE(eventually([&] { return readiness(1).value("ready", false); }));
     CHECK(readiness(1)["revision"] == 8);
-    SECTION("also from a peer while no control VM answers")
+    SECTION("with the configuration from a peer while no control VM responds")
     {
         startEntry(2);
         waitForRevision(2, 8);
@@ -119,10 +118,10 @@
 }
 
 TEST_CASE_METHOD(
-    control_system, "A second disk may be lost right after the first was repaired", "[control][disk]")
+    control_system, "A second disk can be lost as soon as the first one is replaced", "[control][disk]")
 {
-    // The new disk counts as repaired when its node is a voter again and holds what the leader holds.
-    auto repaired = [&](int victim) {
+    // The disk is replaced once its node is a voter again and has applied everything that is committed.
+    auto isReplaced = [&](int victim) {
         auto status = nlohmann::json::parse(plumfold({ "status", "--output", "json" }), nullptr, false);
         for (const auto& each : status) {
             auto isVoter = [](const nlohmann::json& member) { return member["voter"].get<bool>(); };
@@ -140,14 +139,15 @@
         process(name).kill();
         removeFolder(name);
         startControlVm(victim);
-        REQUIRE(eventually([&] { return repaired(victim); }));
+        REQUIRE(eventually([&] { return isReplaced(victim); }));
         CHECK(put("loss" + std::to_string(loss)) == 0);
     }
     CHECK(revision() == 9);
 }
 
 TEST_CASE_METHOD(control_system,
-    "A torn tail is cut off and a damaged record in the middle is refused with the remedy", "[control][disk]")
+    "A torn last record is truncated and an earlier corrupt record is rejected with a remedy",
+    "[control][disk]")
 {
     int victim = leader() % 3 + 1;
     std::string name = "control-" + std::to_string(victim);
@@ -155,7 +155,7 @@
     REQUIRE(put("one") == 0);
     process(name).kill();
     int code = -1;
-    SECTION("torn tail")
+    SECTION("torn last record")
     {
         std::ofstream(log, std::ios::app) << "\x40\x01";
         plumfold({ "state", "verify", folder(name) }, &code);
@@ -164,23 +164,23 @@
         CHECK(put("two") == 0);
         CHECK(process(name).isRunning());
     }
-    SECTION("damage in the middle")
+    SECTION("earlier corrupt record")
     {
         {
             std::fstream file(log, std::ios::in | std::ios::out | std::ios::binary);
             file.seekp(20);
             file.put('X');
         }
-        std::string told = plumfold({ "state", "verify", folder(name) }, &code);
+        std::string output = plumfold({ "state", "verify", folder(name) }, &code);
         CHECK(code != 0);
-        CHECK(told.find("move the data folder away") != std::string::npos);
+        CHECK(output.find("move the data folder away") != std::string::npos);
         startControlVm(victim);
         CHECK(eventually([&] { return !process(name).isRunning(); }));
-        CHECK(put("two") == 0); // the others go on
+        CHECK(put("two") == 0); // the other control VMs are a quorum
     }
 }
 
-TEST_CASE("A full data folder refuses changes and goes on answering reads", "[control][disk]")
+TEST_CASE("A full data folder rejects changes and still serves reads", "[control][disk]")
 {
     test_system system;
     system.extraSettings("control", { { "maxDataBytes", 80'000 } });
@@ -194,7 +194,7 @@
     CHECK(list.find("\"leader\"") != std::string::npos);
 }
 
-TEST_CASE("A process with wrong settings says what is wrong and does not start", "[settings]")
+TEST_CASE("A process with invalid settings exits with code 2", "[settings]")
 {
     test_system system;
     system.extraSettings("control", { { "electionTimeoutMs", 1 }, { "colour", "blue" } });
