--- a/packages/control/src/plumfold_control_role.cpp
+++ b/packages/control/src/plumfold_control_role.cpp
@@ -1,11 +1,11 @@
 #include "plumfold/control/plumfold_control_role.hpp"
 
 #include "plumfold_control_service.hpp"
-#include "plumfold_load_reader.hpp"
-#include "plumfold_part_readers.hpp"
+#include "plumfold_load_poller.hpp"
+#include "plumfold_part_pollers.hpp"
 #include "plumfold_peer_links.hpp"
-#include "plumfold_platform_front.hpp"
-#include "plumfold_weights_duty.hpp"
+#include "plumfold_platform_api_server.hpp"
+#include "plumfold_weight_rollout_thread.hpp"
 
 #include "plumfold/runtime/plumfold_secrets.hpp"
 #include "plumfold/wire/plumfold_rpc_connection.hpp"
@@ -64,11 +64,11 @@
         });
         if (m_settings.control->platformAddress.empty())
             return;
-        m_front = std::make_unique<platform_front>(
-            platform_front_context { m_rpc, m_settings, *m_feed, *m_leader });
-        m_weights = std::make_unique<weights_duty>(m_rpc, m_settings, *m_feed, *m_leader);
-        m_parts = std::make_unique<part_readers>(m_rpc, *m_feed);
-        m_loads = std::make_unique<load_reader>(m_rpc, *m_feed);
+        m_front = std::make_unique<platform_api_server>(
+            platform_api_context { m_rpc, m_settings, *m_feed, *m_leader });
+        m_weights = std::make_unique<weight_rollout_thread>(m_rpc, m_settings, *m_feed, *m_leader);
+        m_parts = std::make_unique<part_pollers>(m_rpc, *m_feed);
+        m_loads = std::make_unique<load_poller>(m_rpc, *m_feed);
     }
 
     ~impl()
@@ -108,10 +108,10 @@
     std::unique_ptr<wire::task_group> m_tasks;
     std::unique_ptr<service_context> m_context;
     std::unique_ptr<wire::rpc_listener> m_listener;
-    std::unique_ptr<platform_front> m_front;
-    std::unique_ptr<weights_duty> m_weights;
-    std::unique_ptr<part_readers> m_parts;
-    std::unique_ptr<load_reader> m_loads;
+    std::unique_ptr<platform_api_server> m_front;
+    std::unique_ptr<weight_rollout_thread> m_weights;
+    std::unique_ptr<part_pollers> m_parts;
+    std::unique_ptr<load_poller> m_loads;
 };
 
 absl::StatusOr<std::unique_ptr<control_role>> control_role::start(
--- a/packages/control/src/plumfold_control_service.cpp
+++ b/packages/control/src/plumfold_control_service.cpp
@@ -51,15 +51,15 @@
         for (auto each : params.getTargets())
             targets.push_back(wire::read(each));
         control_peer_state state { params.getFailureDomain().cStr(), params.getEntries(), {} };
-        m_context.feed.shared(params.getAddress().cStr(), std::move(state), targets);
+        m_context.feed.applyPeerUpdate(params.getAddress().cStr(), std::move(state), targets);
         std::vector<core::part_update> parts;
         for (auto each : params.getParts())
             parts.push_back(wire::read(each));
-        m_context.feed.sharedParts(parts, params.getClock());
+        m_context.feed.applyPeerParts(parts, params.getClock());
         std::vector<core::target_load> loads;
         for (auto each : params.getLoads())
             loads.push_back(wire::read(each));
-        m_context.feed.takeLoads(loads, false);
+        m_context.feed.updateLoads(loads, false);
         return kj::READY_NOW;
     }
 
@@ -114,7 +114,7 @@
     kj::Promise<void> follow(FollowContext call) override
     {
         auto params = call.getParams();
-        m_context.feed.followedBy(m_name);
+        m_context.feed.recordFollower(m_name);
         kj::Promise<void> ready = kj::READY_NOW;
         if (params.getConfirmed())
             ready = m_context.leader.confirm(confirmBound);
@@ -123,7 +123,7 @@
             // A feed of an earlier life numbers its changes otherwise.
             std::uint64_t change = params.getFeed() == m_context.feed.id() ? params.getKnownChange() : 0;
             auto wait = std::min(params.getWaitMs(), maxWatchMs) * kj::MILLISECONDS;
-            return m_context.feed.waitForNews(params.getKnownDeployment(), change, wait)
+            return m_context.feed.waitForUpdate(params.getKnownDeployment(), change, wait)
                 .then([this, call, change]() mutable { answerFollow(call, change); });
         });
     }
--- a/packages/control/src/plumfold_deployment_feed.cpp
+++ b/packages/control/src/plumfold_deployment_feed.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 /// A longer pause between ticks means that this process or its machine stood still.
-constexpr core::milliseconds longestTickGap { 1'000 };
-constexpr core::milliseconds followerForgetTime { 5'000 };
-constexpr core::milliseconds peerForgetTime { 5'000 };
-constexpr core::milliseconds targetForgetTime { 60'000 };
-constexpr core::milliseconds loadForgetTime { 2'000 };
-constexpr core::milliseconds partsForgetTime { 10'000 };
+constexpr core::milliseconds maxTickGap { 1'000 };
+constexpr core::milliseconds followerTimeout { 5'000 };
+constexpr core::milliseconds peerTimeout { 5'000 };
+constexpr core::milliseconds maxTargetAge { 60'000 };
+constexpr core::milliseconds maxLoadReportAge { 2'000 };
+constexpr core::milliseconds maxPartsAge { 10'000 };
 
 const char* stateName(core::target_state state)
 {
@@ -51,7 +51,7 @@
     bool newDocument = view.deployment->document.version != m_view.deployment->document.version;
     m_view = std::move(view);
     if (newDocument)
-        takeStores();
+        updateStores();
     wake();
 }
 
@@ -68,11 +68,11 @@
         .with("weights", target.models.empty() ? std::string("none") : target.models.front().version);
 }
 
-void deployment_feed::heard(const core::target_announcement& target)
+void deployment_feed::onAnnouncement(const core::target_announcement& target)
 {
     auto before = m_directory.latestChange();
-    bool taken = m_directory.apply(target, true, runtime::now());
-    if (!taken)
+    bool applied = m_directory.apply(target, true, runtime::now());
+    if (!applied)
         logTarget("announcement_outdated", target);
     if (m_directory.latestChange() == before)
         return;
@@ -80,7 +80,7 @@
     wake();
 }
 
-void deployment_feed::unresponsive(const std::string& target)
+void deployment_feed::onTargetUnresponsive(const std::string& target)
 {
     if (!m_directory.markSilent(target))
         return;
@@ -88,7 +88,7 @@
     wake();
 }
 
-void deployment_feed::left(const std::string& target)
+void deployment_feed::onTargetLeft(const std::string& target)
 {
     if (!m_directory.markLeaving(target, runtime::now()))
         return;
@@ -96,17 +96,17 @@
     wake();
 }
 
-void deployment_feed::weightsLoaded(
+void deployment_feed::onWeightsLoaded(
     const std::string& target, const std::string& model, std::uint64_t version)
 {
     if (m_directory.setWeights(target, model, std::to_string(version)))
         wake();
 }
 
-void deployment_feed::shared(
+void deployment_feed::applyPeerUpdate(
     const std::string& from, control_peer_state state, const std::vector<core::target_announcement>& targets)
 {
-    state.heardAt = runtime::now();
+    state.lastSeenAt = runtime::now();
     m_peers[from] = std::move(state);
     auto before = m_directory.latestChange();
     for (const auto& target : targets)
@@ -115,7 +115,7 @@
         wake();
 }
 
-void deployment_feed::takeStores()
+void deployment_feed::updateStores()
 {
     auto decoded = platform::decodeDeployment(m_view.deployment->document.text);
     if (!decoded.ok()) {
@@ -130,97 +130,97 @@
     }
 }
 
-std::vector<std::string> deployment_feed::ownStores() const
+std::vector<std::string> deployment_feed::assignedStores() const
 {
-    std::vector<std::string> own;
+    std::vector<std::string> assigned;
     for (const auto& store : m_stores) {
-        if (isNearest(store.failureDomain))
-            own.push_back(store.address);
+        if (isAssignedTo(store.failureDomain))
+            assigned.push_back(store.address);
     }
-    return own;
+    return assigned;
 }
 
-std::vector<std::string> deployment_feed::ownHolders() const
+std::vector<std::string> deployment_feed::assignedHolders() const
 {
-    auto own = ownStores();
-    for (const auto& engine : ownEngines())
-        own.push_back(engine.address);
-    return own;
+    auto assigned = assignedStores();
+    for (const auto& engine : assignedEngines())
+        assigned.push_back(engine.address);
+    return assigned;
 }
 
 /// @return whether this control VM is the first by address among those nearest to a failure domain.
-bool deployment_feed::isNearest(const std::string& failureDomain) const
+bool deployment_feed::isAssignedTo(const std::string& failureDomain) const
 {
     auto domains = controlDomains();
-    auto nearest = std::find_if(
+    auto assignee = std::find_if(
         domains.begin(), domains.end(), [&](const auto& each) { return each.second == failureDomain; });
-    if (nearest == domains.end())
-        nearest = domains.begin();
-    return nearest->first == m_settings.control->address;
+    if (assignee == domains.end())
+        assignee = domains.begin();
+    return assignee->first == m_settings.control->address;
 }
 
-std::vector<core::target_announcement> deployment_feed::ownEngines() const
+std::vector<core::target_announcement> deployment_feed::assignedEngines() const
 {
-    std::vector<core::target_announcement> own;
+    std::vector<core::target_announcement> assigned;
     for (const auto& [name, entry] : m_directory.entries()) {
         bool isEngine = !entry.last.models.empty() && entry.last.state == core::target_state::ready;
-        if (isEngine && isNearest(entry.last.failureDomain))
-            own.push_back(entry.last);
+        if (isEngine && isAssignedTo(entry.last.failureDomain))
+            assigned.push_back(entry.last);
     }
-    return own;
+    return assigned;
 }
 
-void deployment_feed::takeLoads(const std::vector<core::target_load>& loads, bool own)
+void deployment_feed::updateLoads(const std::vector<core::target_load>& loads, bool isDirect)
 {
     for (const auto& load : loads)
-        m_loads[load.target] = { load, runtime::now() - load.age, own };
+        m_loadReports[load.target] = { load, runtime::now() - load.age, isDirect };
 }
 
-std::vector<core::target_load> deployment_feed::loads(bool ownOnly) const
+std::vector<core::target_load> deployment_feed::loads(bool directOnly) const
 {
     std::vector<core::target_load> out;
     auto now = runtime::now();
-    for (const auto& [target, known] : m_loads) {
-        if (now - known.at > loadForgetTime || (ownOnly && !known.own))
+    for (const auto& [target, known] : m_loadReports) {
+        if (now - known.sentAt > maxLoadReportAge || (directOnly && !known.isDirect))
             continue;
         out.push_back(known.load);
-        out.back().age = std::chrono::duration_cast<core::milliseconds>(now - known.at);
+        out.back().age = std::chrono::duration_cast<core::milliseconds>(now - known.sentAt);
     }
     return out;
 }
 
-void deployment_feed::takeClock(std::uint64_t clock)
+void deployment_feed::updateTargetClock(std::uint64_t clock)
 {
     if (clock == 0)
         return;
-    m_clock = clock;
-    m_clockAt = runtime::now();
+    m_targetClock = clock;
+    m_targetClockReadAt = runtime::now();
 }
 
 std::uint64_t deployment_feed::targetClock() const
 {
-    if (m_clock == 0)
+    if (m_targetClock == 0)
         return 0;
-    auto age = std::chrono::duration_cast<core::milliseconds>(runtime::now() - m_clockAt);
-    return m_clock + static_cast<std::uint64_t>(age.count());
+    auto age = std::chrono::duration_cast<core::milliseconds>(runtime::now() - m_targetClockReadAt);
+    return m_targetClock + static_cast<std::uint64_t>(age.count());
 }
 
-void deployment_feed::sharedParts(const std::vector<core::part_update>& parts, std::uint64_t clock)
+void deployment_feed::applyPeerParts(const std::vector<core::part_update>& parts, std::uint64_t clock)
 {
-    for (const auto& news : parts)
-        m_parts.apply(news, runtime::now());
-    takeClock(clock);
+    for (const auto& update : parts)
+        m_parts.apply(update, runtime::now());
+    updateTargetClock(clock);
 }
 
-void deployment_feed::beginParts(const std::string& holder, std::uint64_t generation)
+void deployment_feed::resetParts(const std::string& holder, std::uint64_t generation)
 {
     m_parts.reset(holder, generation, runtime::now());
 }
 
-bool deployment_feed::readParts(const std::string& holder, std::uint64_t generation,
+bool deployment_feed::applyPartChanges(const std::string& holder, std::uint64_t generation,
     const std::vector<core::part_change>& changes, std::uint64_t clock)
 {
-    takeClock(clock);
+    updateTargetClock(clock);
     auto known = m_parts.holders().find(holder);
     // Another control VM may read the holder as well, and its news may have replaced ours.
     if (known == m_parts.holders().end() || known->second.generation != generation)
@@ -231,14 +231,14 @@
     return true;
 }
 
-void deployment_feed::loseParts(const std::string& holder, std::uint64_t generation)
+void deployment_feed::removeParts(const std::string& holder, std::uint64_t generation)
 {
     auto known = m_parts.holders().find(holder);
     if (known != m_parts.holders().end() && known->second.generation == generation)
         m_parts.apply({ holder, 0, 0, 0, false, {} }, runtime::now());
 }
 
-void deployment_feed::followedBy(const std::string& entry)
+void deployment_feed::recordFollower(const std::string& entry)
 {
     m_followers[entry] = runtime::now();
 }
@@ -247,17 +247,18 @@
 {
     auto now = runtime::now();
     // A machine that stood still has heard nothing, which tells nothing of the targets.
-    if (now - m_lastTick > longestTickGap)
+    if (now - m_lastTick > maxTickGap)
         m_directory.restartAnnouncementTimeouts(now);
     m_lastTick = now;
     auto silence = core::milliseconds(m_settings.control->targetSilenceMs);
     auto expired = m_directory.detectSilent(now, silence);
     for (const auto& name : expired)
         logTarget("target_silent", m_directory.entries().at(name).last);
-    m_directory.removeStale(now, targetForgetTime);
-    m_parts.expire(now, partsForgetTime);
-    std::erase_if(m_loads, [&](const auto& each) { return now - each.second.at > loadForgetTime; });
-    std::erase_if(m_followers, [&](const auto& each) { return now - each.second > followerForgetTime; });
+    m_directory.removeStale(now, maxTargetAge);
+    m_parts.expire(now, maxPartsAge);
+    std::erase_if(
+        m_loadReports, [&](const auto& each) { return now - each.second.sentAt > maxLoadReportAge; });
+    std::erase_if(m_followers, [&](const auto& each) { return now - each.second > followerTimeout; });
     if (!expired.empty())
         wake();
 }
@@ -267,7 +268,7 @@
     std::map<std::string, std::string> domains;
     auto now = runtime::now();
     for (const auto& [address, state] : m_peers) {
-        if (now - state.heardAt < peerForgetTime)
+        if (now - state.lastSeenAt < peerTimeout)
             domains[address] = state.failureDomain;
     }
     domains[m_settings.control->address] = m_settings.process.failureDomain;
@@ -313,14 +314,14 @@
     });
 }
 
-kj::Promise<void> deployment_feed::waitForNews(
+kj::Promise<void> deployment_feed::waitForUpdate(
     std::uint64_t deployment, std::uint64_t change, kj::Duration atMost)
 {
-    auto news = waitUntil([this, deployment, change] {
+    auto changed = waitUntil([this, deployment, change] {
         return m_view.deployment->revision > deployment || m_directory.latestChange() != change
             || !m_view.fresh;
     });
-    return news.exclusiveJoin(m_rpc.timer().afterDelay(atMost));
+    return changed.exclusiveJoin(m_rpc.timer().afterDelay(atMost));
 }
 
 kj::Promise<void> deployment_feed::waitForApplied(std::uint64_t index, kj::Duration atMost)
--- a/packages/control/src/plumfold_deployment_feed.hpp
+++ b/packages/control/src/plumfold_deployment_feed.hpp
@@ -21,7 +21,7 @@
 struct control_peer_state {
     std::string failureDomain;
     std::uint32_t entries = 0; ///< Entries that follow it.
-    core::instant heardAt {};
+    core::instant lastSeenAt {};
 };
 
 /// What entries that follow this control VM are told: the deployment, the announced targets, the other
@@ -35,30 +35,30 @@
     const control_view& view() const { return m_view; }
 
     /// Takes an announcement of a target to this control VM.
-    void heard(const core::target_announcement& target);
+    void onAnnouncement(const core::target_announcement& target);
     /// Takes that a target does not answer this control VM.
-    void unresponsive(const std::string& target);
+    void onTargetUnresponsive(const std::string& target);
     /// Takes that a target has left.
-    void left(const std::string& target);
+    void onTargetLeft(const std::string& target);
     /// Takes that a target has loaded a weight version, which its next announcement will tell as well.
-    void weightsLoaded(const std::string& target, const std::string& model, std::uint64_t version);
+    void onWeightsLoaded(const std::string& target, const std::string& model, std::uint64_t version);
     /// Takes what another control VM heard.
-    void shared(const std::string& from, control_peer_state state,
+    void applyPeerUpdate(const std::string& from, control_peer_state state,
         const std::vector<core::target_announcement>& targets);
     /// Takes what another control VM knows of stores, engines and the targets' clock.
-    void sharedParts(const std::vector<core::part_update>& parts, std::uint64_t clock);
+    void applyPeerParts(const std::vector<core::part_update>& parts, std::uint64_t clock);
     /// Takes that this control VM starts to read a holder's parts, none of which are known yet.
-    void beginParts(const std::string& holder, std::uint64_t generation);
+    void resetParts(const std::string& holder, std::uint64_t generation);
     /// Takes changes that this control VM read from a holder itself.
     /// @return whether the generation is still the one in force.
-    bool readParts(const std::string& holder, std::uint64_t generation,
+    bool applyPartChanges(const std::string& holder, std::uint64_t generation,
         const std::vector<core::part_change>& changes, std::uint64_t clock);
     /// Takes that a holder does not answer this control VM.
-    void loseParts(const std::string& holder, std::uint64_t generation);
+    void removeParts(const std::string& holder, std::uint64_t generation);
     /// Takes loads that targets reported, to this control VM or another.
-    void takeLoads(const std::vector<core::target_load>& loads, bool own);
+    void updateLoads(const std::vector<core::target_load>& loads, bool isDirect);
     /// Takes that an entry follows this control VM.
-    void followedBy(const std::string& entry);
+    void recordFollower(const std::string& entry);
 
     /// Marks targets that were not heard; call it regularly.
     void tick();
@@ -66,14 +66,14 @@
     const core::target_directory& directory() const { return m_directory; }
     const core::part_directory& parts() const { return m_parts; }
     /// @return the loads that are not outdated.
-    /// @param ownOnly those that this control VM read itself.
-    std::vector<core::target_load> loads(bool ownOnly) const;
+    /// @param directOnly those that this control VM read itself.
+    std::vector<core::target_load> loads(bool directOnly) const;
     /// @return the ready model engines whose reports this control VM reads.
-    std::vector<core::target_announcement> ownEngines() const;
+    std::vector<core::target_announcement> assignedEngines() const;
     /// @return the stores that this control VM reads itself.
-    std::vector<std::string> ownStores() const;
+    std::vector<std::string> assignedStores() const;
     /// @return the stores and engines whose parts this control VM reads itself.
-    std::vector<std::string> ownHolders() const;
+    std::vector<std::string> assignedHolders() const;
     /// @return the targets' clock, or 0 while it is not known.
     std::uint64_t targetClock() const;
     /// @return a number that another life of this process does not have.
@@ -88,7 +88,7 @@
     std::string announceAddressIn(const std::string& failureDomain) const;
 
     /// @return a promise that ends when the deployment or a target differs, or after the time.
-    kj::Promise<void> waitForNews(std::uint64_t deployment, std::uint64_t change, kj::Duration atMost);
+    kj::Promise<void> waitForUpdate(std::uint64_t deployment, std::uint64_t change, kj::Duration atMost);
     /// @return a promise that ends when the log is applied up to an index, or fails after the time.
     kj::Promise<void> waitForApplied(std::uint64_t index, kj::Duration atMost);
 
@@ -99,10 +99,10 @@
     };
 
     kj::Promise<void> waitUntil(std::function<bool()> done);
-    bool isNearest(const std::string& failureDomain) const;
+    bool isAssignedTo(const std::string& failureDomain) const;
     void wake();
-    void takeClock(std::uint64_t clock);
-    void takeStores();
+    void updateTargetClock(std::uint64_t clock);
+    void updateStores();
     void logTarget(const char* event, const core::target_announcement& target);
 
     wire::rpc_thread& m_rpc;
@@ -113,14 +113,14 @@
     core::target_directory m_directory;
     core::part_directory m_parts;
     std::vector<core::part_store> m_stores; // of the deployment in force
-    struct known_load {
+    struct received_load {
         core::target_load load;
-        core::instant at {};
-        bool own = false;
+        core::instant sentAt {};
+        bool isDirect = false;
     };
-    std::map<std::string, known_load> m_loads; // by target
-    std::uint64_t m_clock = 0; // the targets' clock when it was last told
-    core::instant m_clockAt {};
+    std::map<std::string, received_load> m_loadReports; // by target
+    std::uint64_t m_targetClock = 0; // the targets' clock when it was last told
+    core::instant m_targetClockReadAt {};
     std::map<std::string, control_peer_state> m_peers; // by address
     std::map<std::string, core::instant> m_followers; // by name
     std::list<waiter> m_waiters;
--- a/packages/control/src/plumfold_load_reader.cpp
+++ b/packages/control/src/plumfold_load_poller.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_load_reader.hpp"
+#include "plumfold_load_poller.hpp"
 
 #include "plumfold/runtime/plumfold_clock.hpp"
 
@@ -6,41 +6,41 @@
 
 namespace {
 
-constexpr core::milliseconds readInterval { 250 };
-constexpr core::milliseconds readTimeout { 150 };
+constexpr core::milliseconds pollInterval { 250 };
+constexpr core::milliseconds reportTimeout { 150 };
 /// A target that failed to answer so often in a row counts as silent until it announces itself again.
 constexpr unsigned failuresUntilSilent = 3;
 
 } // namespace
 
-load_reader::load_reader(wire::rpc_thread& rpc, deployment_feed& feed)
+load_poller::load_poller(wire::rpc_thread& rpc, deployment_feed& feed)
     : m_rpc(rpc)
     , m_feed(feed)
     , m_thread([this] { run(); })
 {
 }
 
-load_reader::~load_reader()
+load_poller::~load_poller()
 {
     m_stopping = true;
     m_thread.join();
 }
 
-void load_reader::run()
+void load_poller::run()
 {
     while (!m_stopping) {
-        readAll();
-        std::this_thread::sleep_for(readInterval);
+        pollEngines();
+        std::this_thread::sleep_for(pollInterval);
     }
 }
 
-void load_reader::readAll()
+void load_poller::pollEngines()
 {
-    auto engines = m_rpc.run([this] { return m_feed.ownEngines(); });
-    std::map<std::string, read_target> next;
+    auto engines = m_rpc.run([this] { return m_feed.assignedEngines(); });
+    std::map<std::string, polled_target> next;
     std::vector<core::target_load> loads;
     for (const auto& engine : engines) {
-        read_target target;
+        polled_target target;
         if (auto known = m_targets.find(engine.name); known != m_targets.end())
             target = std::move(known->second);
         if (!target.reader || target.address != engine.address) {
@@ -49,19 +49,19 @@
         }
         if (m_stopping)
             return;
-        auto report = target.reader->read(readTimeout);
+        auto report = target.reader->read(reportTimeout);
         if (report.ok()) {
             loads.push_back(
                 { engine.name, report->running, report->waiting, report->usedTokens, {}, report->isBusy });
             target.failures = 0;
         } else if (++target.failures >= failuresUntilSilent) {
-            m_rpc.run([&] { m_feed.unresponsive(engine.name); });
+            m_rpc.run([&] { m_feed.onTargetUnresponsive(engine.name); });
         }
         next.emplace(engine.name, std::move(target));
     }
     m_targets = std::move(next);
     if (!loads.empty())
-        m_rpc.run([&] { m_feed.takeLoads(loads, true); });
+        m_rpc.run([&] { m_feed.updateLoads(loads, true); });
 }
 
 } // namespace plumfold::control
--- a/packages/control/src/plumfold_part_readers.cpp
+++ b/packages/control/src/plumfold_part_pollers.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_part_readers.hpp"
+#include "plumfold_part_pollers.hpp"
 
 #include "plumfold/runtime/plumfold_clock.hpp"
 #include "plumfold/runtime/plumfold_log.hpp"
@@ -12,17 +12,17 @@
 
 constexpr core::milliseconds assignInterval { 100 };
 /// How long a holder keeps a call waiting for events; it bounds how old our knowledge may be.
-constexpr core::milliseconds eventWait { 500 };
+constexpr core::milliseconds longPollWait { 500 };
 /// Events that follow each other closely are read together.
-constexpr core::milliseconds gatherPause { 100 };
+constexpr core::milliseconds batchDelay { 100 };
 constexpr core::milliseconds retryPause { 200 };
 
 } // namespace
 
 /// The duty that reads one holder.
-class part_readers::reader {
+class part_pollers::poller {
 public:
-    reader(wire::rpc_thread& rpc, deployment_feed& feed, std::string holder)
+    poller(wire::rpc_thread& rpc, deployment_feed& feed, std::string holder)
         : m_rpc(rpc)
         , m_feed(feed)
         , m_holder(std::move(holder))
@@ -31,7 +31,7 @@
     {
     }
 
-    ~reader()
+    ~poller()
     {
         m_stopping = true;
         m_thread.join();
@@ -41,55 +41,55 @@
     void run()
     {
         while (!m_stopping) {
-            auto events = m_client.read(m_next, eventWait);
+            auto events = m_client.read(m_next, longPollWait);
             if (m_stopping)
                 return;
             if (!events.ok()) {
-                lose(std::string(events.status().message()));
+                onPollFailed(std::string(events.status().message()));
                 continue;
             }
-            take(*events);
+            onEvents(*events);
             if (!events->events.empty())
-                std::this_thread::sleep_for(gatherPause);
+                std::this_thread::sleep_for(batchDelay);
         }
     }
 
-    void take(const platform::part_events& events)
+    void onEvents(const platform::part_events& events)
     {
-        bool startsAnew = m_generation == 0 || events.epoch != m_epoch;
-        if (startsAnew && m_next != 0) {
+        bool startsGeneration = m_generation == 0 || events.epoch != m_epoch;
+        if (startsGeneration && m_next != 0) {
             // The numbers belong to the holder's former life.
-            restart(events.epoch);
+            startGeneration(events.epoch);
             return;
         }
-        if (startsAnew)
-            restart(events.epoch);
+        if (startsGeneration)
+            startGeneration(events.epoch);
         if (events.hasGap)
-            readAll();
+            reloadParts();
         else
             apply(events);
     }
 
-    void restart(std::uint64_t epoch)
+    void startGeneration(std::uint64_t epoch)
     {
         m_epoch = epoch;
         m_next = 0;
         m_generation = runtime::randomNumber() | 1;
-        m_rpc.run([&] { m_feed.beginParts(m_holder, m_generation); });
+        m_rpc.run([&] { m_feed.resetParts(m_holder, m_generation); });
         runtime::log_event("parts_read_anew")
             .with("holder", m_holder)
             .with("epoch", epoch)
             .with("generation", m_generation);
     }
 
-    void readAll()
+    void reloadParts()
     {
         auto all = m_client.list();
         if (!all.ok()) {
-            lose(std::string(all.status().message()));
+            onPollFailed(std::string(all.status().message()));
             return;
         }
-        restart(all->epoch);
+        startGeneration(all->epoch);
         apply(*all);
     }
 
@@ -99,21 +99,21 @@
         std::vector<core::part_change> changes;
         for (const auto& each : events.events)
             changes.push_back({ core::hashOf(each.part), each.added ? each.tokens : 0 });
-        bool held
-            = m_rpc.run([&] { return m_feed.readParts(m_holder, m_generation, changes, events.clockMs); });
-        if (held)
+        bool applied = m_rpc.run(
+            [&] { return m_feed.applyPartChanges(m_holder, m_generation, changes, events.clockMs); });
+        if (applied)
             return;
         m_generation = 0;
         m_next = 0;
     }
 
-    void lose(const std::string& reason)
+    void onPollFailed(const std::string& reason)
     {
         if (m_generation != 0) {
             runtime::log_event("parts_lost", runtime::log_level::warning)
                 .with("holder", m_holder)
                 .with("reason", reason);
-            m_rpc.run([&] { m_feed.loseParts(m_holder, m_generation); });
+            m_rpc.run([&] { m_feed.removeParts(m_holder, m_generation); });
         }
         m_generation = 0;
         m_next = 0;
@@ -131,28 +131,28 @@
     std::thread m_thread;
 };
 
-part_readers::part_readers(wire::rpc_thread& rpc, deployment_feed& feed)
+part_pollers::part_pollers(wire::rpc_thread& rpc, deployment_feed& feed)
     : m_rpc(rpc)
     , m_feed(feed)
     , m_thread([this] { run(); })
 {
 }
 
-part_readers::~part_readers()
+part_pollers::~part_pollers()
 {
     m_stopping = true;
     m_thread.join();
 }
 
-void part_readers::run()
+void part_pollers::run()
 {
     while (!m_stopping) {
-        auto own = m_rpc.run([this] { return m_feed.ownHolders(); });
-        std::erase_if(m_readers,
+        auto own = m_rpc.run([this] { return m_feed.assignedHolders(); });
+        std::erase_if(m_pollers,
             [&](const auto& each) { return std::find(own.begin(), own.end(), each.first) == own.end(); });
         for (const auto& holder : own) {
-            if (!m_readers.contains(holder))
-                m_readers.emplace(holder, std::make_unique<reader>(m_rpc, m_feed, holder));
+            if (!m_pollers.contains(holder))
+                m_pollers.emplace(holder, std::make_unique<poller>(m_rpc, m_feed, holder));
         }
         std::this_thread::sleep_for(assignInterval);
     }
--- a/packages/control/src/plumfold_part_readers.hpp
+++ b/packages/control/src/plumfold_part_pollers.hpp
@@ -13,19 +13,19 @@
 
 /// Reads the events of the stores and engines that this control VM is the nearest to, a thread for each, and
 /// tells the feed which parts each holds whole.
-class part_readers {
+class part_pollers {
 public:
-    part_readers(wire::rpc_thread& rpc, deployment_feed& feed);
-    ~part_readers();
+    part_pollers(wire::rpc_thread& rpc, deployment_feed& feed);
+    ~part_pollers();
 
 private:
-    class reader;
+    class poller;
 
     void run();
 
     wire::rpc_thread& m_rpc;
     deployment_feed& m_feed;
-    std::map<std::string, std::unique_ptr<reader>> m_readers; // by address of the holder
+    std::map<std::string, std::unique_ptr<poller>> m_pollers; // by address of the holder
     std::atomic<bool> m_stopping { false };
     std::thread m_thread;
 };
--- a/packages/control/src/plumfold_peer_links.cpp
+++ b/packages/control/src/plumfold_peer_links.cpp
@@ -78,7 +78,7 @@
         if (entry.isDirect && (all || entry.change > to.sharedChange))
             told.push_back(&entry.last);
     }
-    auto own = feed.ownHolders();
+    auto own = feed.assignedHolders();
     auto loads = feed.loads(true);
     bool partsDue = !(own.empty() && loads.empty()) && now - to.sharedPartsAt > sharePartsInterval;
     if (to.sharing || (told.empty() && !all && !partsDue))
--- a/packages/control/src/plumfold_platform_front.cpp
+++ b/packages/control/src/plumfold_platform_api_server.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_platform_front.hpp"
+#include "plumfold_platform_api_server.hpp"
 
 #include "plumfold/platform/plumfold_platform_control_calls.hpp"
 #include "plumfold/platform/plumfold_platform_deployment.hpp"
@@ -19,17 +19,17 @@
 constexpr int maxConnections = 200;
 constexpr std::size_t maxCallBytes = 16 << 20;
 /// Operators try another control VM when they get no answer within a second.
-constexpr auto answerBound = 850 * kj::MILLISECONDS;
+constexpr auto responseTimeout = 850 * kj::MILLISECONDS;
 /// A configuration with many routes is given more time.
-constexpr auto largeAnswerBound = 1500 * kj::MILLISECONDS;
+constexpr auto largeResponseTimeout = 1500 * kj::MILLISECONDS;
 constexpr std::size_t largeBodyBytes = 64 << 10;
 
-struct front_answer {
+struct api_response {
     HTTPResponse::HTTPStatus status = HTTPResponse::HTTP_OK;
     std::string body = "{}";
 };
 
-front_answer failed(HTTPResponse::HTTPStatus status, const std::string& message)
+api_response errorResponse(HTTPResponse::HTTPStatus status, const std::string& message)
 {
     nlohmann::json body { { "error", message } };
     return { status, body.dump() };
@@ -38,104 +38,105 @@
 /// Answers one call. Runs on a thread of the listener.
 class call_visitor {
 public:
-    call_visitor(platform_front_context& context, std::string body)
+    call_visitor(platform_api_context& context, std::string body)
         : m_context(context)
         , m_body(std::move(body))
     {
     }
 
-    front_answer operator()(const platform::announce_call& call)
+    api_response operator()(const platform::announce_call& call)
     {
         auto next = m_context.rpc.run([&] {
-            m_context.feed.heard(call.target);
+            m_context.feed.onAnnouncement(call.target);
             return m_context.feed.announceAddressIn(call.target.failureDomain);
         });
         return { HTTPResponse::HTTP_OK, platform::encodeAnnounceResponse(next) };
     }
 
-    front_answer operator()(const platform::leave_call& call)
+    api_response operator()(const platform::leave_call& call)
     {
-        m_context.rpc.run([&] { m_context.feed.left(call.target); });
+        m_context.rpc.run([&] { m_context.feed.onTargetLeft(call.target); });
         return {};
     }
 
-    front_answer operator()(const platform::put_deployment_call&)
+    api_response operator()(const platform::put_deployment_call&)
     {
         auto decoded = platform::decodeDeployment(m_body);
         absl::Status status = decoded.ok() ? decoded->check() : decoded.status();
         if (!status.ok()) {
             runtime::log_event("deployment_refused").with("reason", std::string(status.message()));
-            return failed(HTTPResponse::HTTP_BAD_REQUEST, std::string(status.message()));
+            return errorResponse(HTTPResponse::HTTP_BAD_REQUEST, std::string(status.message()));
         }
         return submit(core::adopt_document_command { { decoded->version(), m_body } });
     }
 
-    front_answer operator()(const platform::read_deployment_call&)
+    api_response operator()(const platform::read_deployment_call&)
     {
         try {
             auto text = m_context.rpc.run([&] {
-                return m_context.leader.confirm(answerBound).then([this] {
+                return m_context.leader.confirm(responseTimeout).then([this] {
                     return m_context.feed.view().deployment->document.text;
                 });
             });
             if (text.empty())
-                return failed(HTTPResponse::HTTP_SERVICE_UNAVAILABLE, "no configuration was accepted yet");
+                return errorResponse(
+                    HTTPResponse::HTTP_SERVICE_UNAVAILABLE, "no configuration was accepted yet");
             return { HTTPResponse::HTTP_OK, text };
         } catch (const kj::Exception& exception) {
-            return unavailable(exception);
+            return unavailableResponse(exception);
         }
     }
 
-    front_answer operator()(const platform::set_in_service_call& call)
+    api_response operator()(const platform::set_in_service_call& call)
     {
         return submit(core::set_in_service_command { call.failureDomain, call.inService });
     }
 
-    front_answer operator()(const platform::set_weight_version_call& call)
+    api_response operator()(const platform::set_weight_version_call& call)
     {
         return submit(core::set_current_weights_command { call.model, call.version });
     }
 
-    front_answer operator()(const platform::malformed_call& call)
+    api_response operator()(const platform::malformed_call& call)
     {
         runtime::log_event("call_malformed").with("reason", call.message);
-        return failed(HTTPResponse::HTTP_BAD_REQUEST, call.message);
+        return errorResponse(HTTPResponse::HTTP_BAD_REQUEST, call.message);
     }
 
-    front_answer operator()(const platform::unknown_call&)
+    api_response operator()(const platform::unknown_call&)
     {
-        return failed(HTTPResponse::HTTP_NOT_FOUND, "there is no such call");
+        return errorResponse(HTTPResponse::HTTP_NOT_FOUND, "there is no such call");
     }
 
 private:
-    template <class Command> front_answer submit(Command what)
+    template <class Command> api_response submit(Command what)
     {
         try {
-            auto bound = m_body.size() > largeBodyBytes ? largeAnswerBound : answerBound;
+            auto timeout = m_body.size() > largeBodyBytes ? largeResponseTimeout : responseTimeout;
             m_context.rpc.run([&] {
-                return m_context.leader.submit(core::command { 0, std::move(what) }, bound).ignoreResult();
+                return m_context.leader.submit(core::command { 0, std::move(what) }, timeout).ignoreResult();
             });
             return {};
         } catch (const kj::Exception& exception) {
-            return unavailable(exception);
+            return unavailableResponse(exception);
         }
     }
 
-    front_answer unavailable(const kj::Exception& exception)
+    api_response unavailableResponse(const kj::Exception& exception)
     {
         runtime::log_event("quorum_not_reached", runtime::log_level::warning)
             .with("reason", exception.getDescription().cStr());
-        return failed(HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
+        return errorResponse(HTTPResponse::HTTP_SERVICE_UNAVAILABLE,
             "no quorum of control VMs answered in time: try again, or another control VM");
     }
 
-    platform_front_context& m_context;
+    platform_api_context& m_context;
     std::string m_body;
 };
 
-class front_handler final : public Poco::Net::HTTPRequestHandler {
+class api_request_handler final : public Poco::Net::HTTPRequestHandler {
 public:
-    explicit front_handler(platform_front_context& context)
+    explicit api_request_handler(platform_api_context& context)
         : m_context(context)
     {
     }
@@ -143,9 +144,10 @@
     void handleRequest(
         Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response) override
     {
-        auto began = runtime::now();
+        auto receivedAt = runtime::now();
         auto body = runtime::readBody(request.stream(), maxCallBytes);
-        front_answer answer = failed(HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+        api_response answer
+            = errorResponse(HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE, "the body is too large");
         bool isAnnouncement = false;
         if (body) {
             auto call = platform::decodeControlCall(request.getMethod(), request.getURI(), *body);
@@ -154,12 +156,12 @@
         }
         // Announcements come every second from each target; their changes are logged by the feed.
         if (!isAnnouncement) {
-            auto took = std::chrono::duration_cast<core::milliseconds>(runtime::now() - began);
+            auto duration = std::chrono::duration_cast<core::milliseconds>(runtime::now() - receivedAt);
             runtime::log_event("call_answered")
                 .with("method", request.getMethod())
                 .with("path", request.getURI())
                 .with("status", static_cast<int>(answer.status))
-                .with("took_ms", took.count());
+                .with("took_ms", duration.count());
         }
         response.setStatus(answer.status);
         response.setContentType("application/json");
@@ -167,26 +169,26 @@
     }
 
 private:
-    platform_front_context& m_context;
+    platform_api_context& m_context;
 };
 
-class front_factory final : public Poco::Net::HTTPRequestHandlerFactory {
+class api_handler_factory final : public Poco::Net::HTTPRequestHandlerFactory {
 public:
-    explicit front_factory(platform_front_context& context)
+    explicit api_handler_factory(platform_api_context& context)
         : m_context(context)
     {
     }
 
     Poco::Net::HTTPRequestHandler* createRequestHandler(const Poco::Net::HTTPServerRequest&) override
     {
-        return new front_handler(m_context);
+        return new api_request_handler(m_context);
     }
 
 private:
-    platform_front_context& m_context;
+    platform_api_context& m_context;
 };
 
-runtime::http_limits frontLimits()
+runtime::http_limits apiLimits()
 {
     runtime::http_limits limits;
     limits.maxConnections = maxConnections;
@@ -195,9 +197,9 @@
 
 } // namespace
 
-platform_front::platform_front(platform_front_context context)
+platform_api_server::platform_api_server(platform_api_context context)
     : m_context(context)
-    , m_listener(m_context.settings.control->platformAddress, new front_factory(m_context), frontLimits())
+    , m_listener(m_context.settings.control->platformAddress, new api_handler_factory(m_context), apiLimits())
 {
 }
 
--- a/packages/control/src/plumfold_platform_front.hpp
+++ b/packages/control/src/plumfold_platform_api_server.hpp
@@ -8,7 +8,7 @@
 namespace plumfold::control {
 
 /// What the calls of targets and operators need. The feed and the leader client live on the RPC duty.
-struct platform_front_context {
+struct platform_api_context {
     wire::rpc_thread& rpc;
     const runtime::settings& settings;
     deployment_feed& feed;
@@ -16,12 +16,12 @@
 };
 
 /// Serves the calls of targets and of the platform's operators over HTTP.
-class platform_front {
+class platform_api_server {
 public:
-    explicit platform_front(platform_front_context context);
+    explicit platform_api_server(platform_api_context context);
 
 private:
-    platform_front_context m_context;
+    platform_api_context m_context;
     runtime::http_listener m_listener;
 };
 
--- a/packages/control/src/plumfold_weights_duty.cpp
+++ b/packages/control/src/plumfold_weight_rollout_thread.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_weights_duty.hpp"
+#include "plumfold_weight_rollout_thread.hpp"
 
 #include "plumfold/runtime/plumfold_clock.hpp"
 #include "plumfold/runtime/plumfold_log.hpp"
@@ -12,18 +12,18 @@
 constexpr const char* leaseName = "target-orders";
 constexpr core::milliseconds stepInterval { 100 };
 constexpr core::milliseconds callTimeout { 400 };
-constexpr core::milliseconds lookInterval { 300 };
+constexpr core::milliseconds checkInterval { 300 };
 /// An order that was not answered may still be carried out some seconds later.
-constexpr core::milliseconds loadBound { 6'000 };
+constexpr core::milliseconds orderOutcomeTimeout { 6'000 };
 constexpr core::milliseconds retryPause { 500 };
-constexpr auto leaseCallBound = 1000 * kj::MILLISECONDS;
+constexpr auto leaseCallTimeout = 1000 * kj::MILLISECONDS;
 /// The lease is kept in the log for twice the time that its holder uses it, so that two holders never give
 /// orders within one lease time of each other.
-constexpr int leaseReserve = 2;
+constexpr int leaseTimeFactor = 2;
 
 } // namespace
 
-weights_duty::weights_duty(
+weight_rollout_thread::weight_rollout_thread(
     wire::rpc_thread& rpc, const runtime::settings& settings, deployment_feed& feed, leader_client& leader)
     : m_rpc(rpc)
     , m_settings(settings)
@@ -34,13 +34,13 @@
 {
 }
 
-weights_duty::~weights_duty()
+weight_rollout_thread::~weight_rollout_thread()
 {
     m_stopping = true;
     m_thread.join();
 }
 
-void weights_duty::run()
+void weight_rollout_thread::run()
 {
     while (!m_stopping) {
         step();
@@ -48,130 +48,136 @@
     }
 }
 
-std::vector<weights_duty::outdated_target> weights_duty::outdatedTargets()
+std::vector<weight_rollout_thread::stale_target> weight_rollout_thread::findStaleTargets()
 {
     return m_rpc.run([this] {
-        std::vector<outdated_target> outdated;
+        std::vector<stale_target> stale;
         const auto& view = m_feed.view();
         if (!view.leads || !view.fresh)
-            return outdated;
+            return stale;
         for (const auto& [name, entry] : m_feed.directory().entries()) {
             if (entry.last.state != core::target_state::ready)
                 continue;
             for (const auto& model : entry.last.models) {
-                auto named = view.deployment->weights.find(model.model);
-                if (named != view.deployment->weights.end() && std::to_string(named->second) != model.version)
-                    outdated.push_back({ name, entry.last.address, model.model, named->second });
+                auto currentVersion = view.deployment->weights.find(model.model);
+                if (currentVersion != view.deployment->weights.end()
+                    && std::to_string(currentVersion->second) != model.version)
+                    stale.push_back({ name, entry.last.address, model.model, currentVersion->second });
             }
         }
-        return outdated;
+        return stale;
     });
 }
 
-void weights_duty::step()
+void weight_rollout_thread::step()
 {
-    auto outdated = outdatedTargets();
+    auto stale = findStaleTargets();
     std::erase_if(m_loads, [&](const auto& load) {
-        return std::none_of(outdated.begin(), outdated.end(),
-            [&](const auto& each) { return each.name == load.first && each.named == load.second.version; });
+        return std::none_of(stale.begin(), stale.end(), [&](const auto& each) {
+            return each.name == load.first && each.currentVersion == load.second.version;
+        });
     });
-    if (outdated.empty()) {
+    if (stale.empty()) {
         m_hasLease = false;
         return;
     }
-    for (const auto& target : outdated) {
+    for (const auto& target : stale) {
         auto load = m_loads.find(target.name);
         if (load != m_loads.end())
-            look(target, load->second);
+            checkLoad(target, load->second);
     }
-    for (const auto& target : outdated) {
+    for (const auto& target : stale) {
         bool mayLoad = m_loads.size() < m_settings.control->maxConcurrentLoads;
         if (m_stopping || !mayLoad)
             return;
-        if (m_loads.contains(target.name) || runtime::now() < m_notBefore[target.name])
+        if (m_loads.contains(target.name) || runtime::now() < m_nextAttemptAt[target.name])
             continue;
-        if (!holdLease())
+        if (!acquireLease())
             return;
-        order(target);
+        sendOrder(target);
     }
 }
 
-bool weights_duty::holdLease()
+bool weight_rollout_thread::acquireLease()
 {
-    auto term = core::milliseconds(m_settings.control->orderLeaseMs);
-    bool renewed = m_hasLease && runtime::now() - m_leaseAskedAt < term / 3;
+    auto leaseTime = core::milliseconds(m_settings.control->orderLeaseMs);
+    bool renewed = m_hasLease && runtime::now() - m_leaseRequestedAt < leaseTime / 3;
     if (renewed)
         return true;
     core::lease_command wanted { leaseName, m_settings.control->address,
-        static_cast<std::uint32_t>(term.count() * leaseReserve) };
-    auto asked = runtime::now();
+        static_cast<std::uint32_t>(leaseTime.count() * leaseTimeFactor) };
+    auto requestedAt = runtime::now();
     try {
-        auto answer = m_rpc.run([&] { return m_leader.submit(core::command { 0, wanted }, leaseCallBound); });
+        auto answer = m_rpc.run([&] {
+            return m_leader.submit(core::command { 0, wanted }, leaseCallTimeout);
+        });
         const auto* lease = std::get_if<core::lease_result>(&answer.result);
         bool granted = lease && lease->granted;
         if (granted && !m_hasLease)
             runtime::log_event("order_lease_taken").with("fence", lease->fence);
         m_hasLease = granted;
-        m_fence = granted ? lease->fence : 0;
-        m_leaseAskedAt = asked;
+        m_fencingToken = granted ? lease->fence : 0;
+        m_leaseRequestedAt = requestedAt;
     } catch (const kj::Exception& exception) {
         runtime::log_event("order_lease_not_renewed", runtime::log_level::warning)
             .with("reason", exception.getDescription().cStr());
-        m_hasLease = m_hasLease && runtime::now() - m_leaseAskedAt < term;
+        m_hasLease = m_hasLease && runtime::now() - m_leaseRequestedAt < leaseTime;
     }
     return m_hasLease;
 }
 
-void weights_duty::look(const outdated_target& target, load_in_progress& load)
+void weight_rollout_thread::checkLoad(const stale_target& target, load_in_progress& load)
 {
     auto now = runtime::now();
-    if (now < load.nextLook)
+    if (now < load.nextCheck)
         return;
-    load.nextLook = now + lookInterval;
+    load.nextCheck = now + checkInterval;
     auto report = m_client.readReport(target.address, target.name);
-    if (report.ok() && report->weights[target.model] == target.named) {
-        m_rpc.run([&] { m_feed.weightsLoaded(target.name, target.model, target.named); });
-        runtime::log_event("weights_loaded").with("target", target.name).with("version", target.named);
+    if (report.ok() && report->weights[target.model] == target.currentVersion) {
+        m_rpc.run([&] { m_feed.onWeightsLoaded(target.name, target.model, target.currentVersion); });
+        runtime::log_event("weights_loaded")
+            .with("target", target.name)
+            .with("version", target.currentVersion);
         m_loads.erase(target.name);
         return;
     }
     bool lost = report.ok() ? !report->isBusy && now - load.orderedAt > core::milliseconds(2000)
-                            : now - load.orderedAt > loadBound;
+                            : now - load.orderedAt > orderOutcomeTimeout;
     if (!lost)
         return;
     runtime::log_event("order_lost", runtime::log_level::warning)
         .with("target", target.name)
-        .with("version", target.named);
+        .with("version", target.currentVersion);
     m_loads.erase(target.name);
 }
 
-void weights_duty::order(const outdated_target& target)
+void weight_rollout_thread::sendOrder(const stale_target& target)
 {
     auto now = runtime::now();
-    m_notBefore[target.name] = now + retryPause;
+    m_nextAttemptAt[target.name] = now + retryPause;
     auto report = m_client.readReport(target.address, target.name);
     if (!report.ok())
         return;
-    load_in_progress load { target.model, target.named, now, now + lookInterval };
-    if (report->weights[target.model] == target.named || report->isBusy) {
+    load_in_progress load { target.model, target.currentVersion, now, now + checkInterval };
+    if (report->weights[target.model] == target.currentVersion || report->isBusy) {
         m_loads[target.name] = load;
         return;
     }
-    platform::load_order what { target.model, target.named, platform::weight_swap_mode::drain,
-        m_settings.control->address, m_fence, report->acceptedOrders };
+    platform::load_order what { target.model, target.currentVersion, platform::weight_swap_mode::drain,
+        m_settings.control->address, m_fencingToken, report->acceptedOrders };
     auto answer = m_client.order(target.address, target.name, what);
     runtime::log_event("order_given")
         .with("target", target.name)
         .with("model", target.model)
-        .with("version", target.named)
-        .with("fence", m_fence)
+        .with("version", target.currentVersion)
+        .with("fence", m_fencingToken)
         .with("accepted_orders", report->acceptedOrders)
         .with("answer", answer.ok() ? static_cast<int>(*answer) : -1);
     if (answer.ok() && *answer == platform::order_result::fenced)
         m_hasLease = false;
-    bool mayBeTaken = !answer.ok() || *answer == platform::order_result::accepted
+    bool mayBeAccepted = !answer.ok() || *answer == platform::order_result::accepted
         || *answer == platform::order_result::already_loaded;
-    if (mayBeTaken)
+    if (mayBeAccepted)
         m_loads[target.name] = load;
 }
 
--- a/packages/store/src/plumfold_block_service.cpp
+++ b/packages/store/src/plumfold_block_service.cpp
@@ -114,12 +114,12 @@
     std::optional<std::uint32_t> index;
 };
 
-std::optional<block_path> readPath(const std::string& uri)
+std::optional<block_path> parseBlockPath(const std::string& uri)
 {
     std::vector<std::string> parts = absl::StrSplit(uri, '/');
-    bool shaped = parts.size() >= 4 && parts.size() <= 5 && parts[1] == "v1" && parts[2] == "blocks";
+    bool isBlockPath = parts.size() >= 4 && parts.size() <= 5 && parts[1] == "v1" && parts[2] == "blocks";
     block_path path;
-    if (!shaped || !absl::SimpleAtoi(parts[3], &path.ticket))
+    if (!isBlockPath || !absl::SimpleAtoi(parts[3], &path.ticket))
         return std::nullopt;
     if (parts.size() == 4)
         return path;
@@ -140,7 +140,7 @@
     void handleRequest(
         Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response) override
     {
-        auto path = readPath(request.getURI());
+        auto path = parseBlockPath(request.getURI());
         const std::string& method = request.getMethod();
         if (path && path->index && method == "GET")
             get(*path, response);
@@ -149,7 +149,7 @@
         else if (path && !path->index && method == "DELETE")
             end(*path, response);
         else
-            answer(response, HTTPResponse::HTTP_BAD_REQUEST, "");
+            respond(response, HTTPResponse::HTTP_BAD_REQUEST, "");
     }
 
 private:
@@ -158,9 +158,9 @@
         auto bytes = m_context.rpc.run(
             [&] { return m_context.blocks.read(path.ticket, *path.index, runtime::now()); });
         if (bytes.ok())
-            answer(response, HTTPResponse::HTTP_OK, *bytes);
+            respond(response, HTTPResponse::HTTP_OK, *bytes);
         else
-            answer(response, HTTPResponse::HTTP_NOT_FOUND, std::string(bytes.status().message()));
+            respond(response, HTTPResponse::HTTP_NOT_FOUND, std::string(bytes.status().message()));
     }
 
     void put(const block_path& path, Poco::Net::HTTPServerRequest& request,
@@ -168,25 +168,25 @@
     {
         auto body = runtime::readBody(request.stream(), maxBlockBytes);
         // A body that was cut must not become a block.
-        bool whole = body && request.hasContentLength()
+        bool isComplete = body && request.hasContentLength()
             && static_cast<std::size_t>(request.getContentLength64()) == body->size();
-        if (!whole) {
-            answer(response, HTTPResponse::HTTP_BAD_REQUEST, "");
+        if (!isComplete) {
+            respond(response, HTTPResponse::HTTP_BAD_REQUEST, "");
             return;
         }
         auto status = m_context.rpc.run(
             [&] { return m_context.blocks.write(path.ticket, *path.index, *body, runtime::now()); });
-        answer(response, status.ok() ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_CONFLICT,
+        respond(response, status.ok() ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_CONFLICT,
             std::string(status.message()));
     }
 
     void end(const block_path& path, Poco::Net::HTTPServerResponse& response)
     {
         m_context.rpc.run([&] { m_context.blocks.endLease(path.ticket); });
-        answer(response, HTTPResponse::HTTP_OK, "");
+        respond(response, HTTPResponse::HTTP_OK, "");
     }
 
-    static void answer(
+    static void respond(
         Poco::Net::HTTPServerResponse& response, HTTPResponse::HTTPStatus status, const std::string& body)
     {
         response.setStatus(status);
