--- a/packages/control/src/plumfold_deployment_feed.cpp
+++ b/packages/control/src/plumfold_deployment_feed.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-/// A longer pause between ticks means that this process or its machine stood still.
+/// A longer gap between ticks means that this process or its VM was suspended.
 constexpr core::milliseconds maxTickGap { 1'000 };
 constexpr core::milliseconds followerTimeout { 5'000 };
 constexpr core::milliseconds peerTimeout { 5'000 };
-constexpr core::milliseconds maxTargetAge { 60'000 };
+constexpr core::milliseconds maxTargetAge { 60'000 }; // of leaving and silent targets
 constexpr core::milliseconds maxLoadReportAge { 2'000 };
 constexpr core::milliseconds maxPartsAge { 10'000 };
 
@@ -148,7 +148,9 @@
     return assigned;
 }
 
-/// @return whether this control VM is the first by address among those nearest to a failure domain.
+/// Assigns a failure domain to its first control VM by address, or to the first of all control VMs when it
+/// has none, so that normally one control VM polls its stores and engines.
+/// @return whether the failure domain is assigned to this control VM.
 bool deployment_feed::isAssignedTo(const std::string& failureDomain) const
 {
     auto domains = controlDomains();
@@ -222,7 +224,7 @@
 {
     updateTargetClock(clock);
     auto known = m_parts.holders().find(holder);
-    // Another control VM may read the holder as well, and its news may have replaced ours.
+    // Another control VM may poll the holder as well, and its update may have replaced this generation.
     if (known == m_parts.holders().end() || known->second.generation != generation)
         return false;
     for (const auto& change : changes)
@@ -246,7 +248,7 @@
 void deployment_feed::tick()
 {
     auto now = runtime::now();
-    // A machine that stood still has heard nothing, which tells nothing of the targets.
+    // A suspended process receives no announcements, so their absence does not mean that targets are silent.
     if (now - m_lastTick > maxTickGap)
         m_directory.restartAnnouncementTimeouts(now);
     m_lastTick = now;
--- a/packages/control/src/plumfold_deployment_feed.hpp
+++ b/packages/control/src/plumfold_deployment_feed.hpp
@@ -17,79 +17,86 @@
 
 namespace plumfold::control {
 
-/// Another control VM as its shares show it.
+/// Another control VM, according to its latest share call.
 struct control_peer_state {
     std::string failureDomain;
-    std::uint32_t entries = 0; ///< Entries that follow it.
-    core::instant lastSeenAt {};
+    std::uint32_t entries = 0; ///< Number of entries that follow it.
+    core::instant lastSeenAt {}; ///< When its latest share call was received.
 };
 
-/// What entries that follow this control VM are told: the deployment, the announced targets, the other
-/// control VMs. Lives on the RPC duty.
+/// State that this control VM sends to the entries that follow it: the deployment, the announced targets, KV
+/// parts, loads and the other control VMs. Used only on the RPC thread.
 class deployment_feed {
 public:
     deployment_feed(wire::rpc_thread& rpc, const runtime::settings& settings);
 
-    /// Takes a change of what this control VM holds.
+    /// Replaces this control VM's view of the replicated state.
     void update(control_view view);
     const control_view& view() const { return m_view; }
 
-    /// Takes an announcement of a target to this control VM.
+    /// Applies an announcement that a target sent to this control VM.
     void onAnnouncement(const core::target_announcement& target);
-    /// Takes that a target does not answer this control VM.
+    /// Marks a target as silent because it does not answer this control VM.
     void onTargetUnresponsive(const std::string& target);
-    /// Takes that a target has left.
+    /// Marks a target as leaving.
     void onTargetLeft(const std::string& target);
-    /// Takes that a target has loaded a weight version, which its next announcement will tell as well.
+    /// Records that a target has loaded a weight version, before its next announcement reports it.
     void onWeightsLoaded(const std::string& target, const std::string& model, std::uint64_t version);
-    /// Takes what another control VM heard.
+    /// Applies the state of another control VM and the announcements that it received.
+    /// @param from the address of that control VM, ip:port.
     void applyPeerUpdate(const std::string& from, control_peer_state state,
         const std::vector<core::target_announcement>& targets);
-    /// Takes what another control VM knows of stores, engines and the targets' clock.
+    /// Applies updates about the parts of stores and engines from another control VM.
+    /// @param clock the targets' clock in milliseconds; 0: unknown.
     void applyPeerParts(const std::vector<core::part_update>& parts, std::uint64_t clock);
-    /// Takes that this control VM starts to read a holder's parts, none of which are known yet.
+    /// Starts a generation of a holder that this control VM polls, without any parts.
     void resetParts(const std::string& holder, std::uint64_t generation);
-    /// Takes changes that this control VM read from a holder itself.
-    /// @return whether the generation is still the one in force.
+    /// Applies changes that this control VM polled from a holder.
+    /// @param clock the targets' clock in milliseconds; 0: unknown.
+    /// @return whether they were applied; false if the generation is no longer the holder's current one.
     bool applyPartChanges(const std::string& holder, std::uint64_t generation,
         const std::vector<core::part_change>& changes, std::uint64_t clock);
-    /// Takes that a holder does not answer this control VM.
+    /// Removes a holder that does not answer this control VM, if the generation is still its current one.
     void removeParts(const std::string& holder, std::uint64_t generation);
-    /// Takes loads that targets reported, to this control VM or another.
+    /// Updates the loads of targets.
+    /// @param isDirect whether this control VM polled them itself; otherwise another one shared them.
     void updateLoads(const std::vector<core::target_load>& loads, bool isDirect);
-    /// Takes that an entry follows this control VM.
+    /// Records that an entry follows this control VM.
     void recordFollower(const std::string& entry);
 
-    /// Marks targets that were not heard; call it regularly.
+    /// Applies the timeouts: marks targets as silent and removes stale data. Call it periodically.
     void tick();
 
     const core::target_directory& directory() const { return m_directory; }
     const core::part_directory& parts() const { return m_parts; }
-    /// @return the loads that are not outdated.
-    /// @param directOnly those that this control VM read itself.
+    /// @param directOnly only those that this control VM polled itself.
+    /// @return the loads that are not stale.
     std::vector<core::target_load> loads(bool directOnly) const;
-    /// @return the ready model engines whose reports this control VM reads.
+    /// @return the ready model engines that this control VM polls.
     std::vector<core::target_announcement> assignedEngines() const;
-    /// @return the stores that this control VM reads itself.
+    /// @return the addresses of the stores that this control VM polls.
     std::vector<std::string> assignedStores() const;
-    /// @return the stores and engines whose parts this control VM reads itself.
+    /// @return the addresses of the stores and engines whose part events this control VM polls.
     std::vector<std::string> assignedHolders() const;
-    /// @return the targets' clock, or 0 while it is not known.
+    /// @return the targets' clock in milliseconds, extrapolated from its last reading; 0 while unknown.
     std::uint64_t targetClock() const;
-    /// @return a number that another life of this process does not have.
+    /// @return a random number that identifies this incarnation of the feed.
     std::uint64_t id() const { return m_id; }
-    /// @return the control VMs that were heard lately and this one, by address.
+    /// @return the failure domains, by address, of this control VM and of those seen within the peer timeout.
     std::map<std::string, std::string> controlDomains() const;
-    /// @return the entries that follow any control VM, as far as this one knows.
+    /// @return the number of entries that follow any control VM, as far as known here; at least 1.
     std::uint32_t entryCount() const;
-    /// @return the entries that follow this control VM.
+    /// @return the number of entries that follow this control VM.
     std::uint32_t followerCount() const { return static_cast<std::uint32_t>(m_followers.size()); }
-    /// @return the address for announcements of targets in a failure domain, or an empty one.
+    /// @return the platform address of a control VM in a failure domain; empty when none is known there.
     std::string announceAddressIn(const std::string& failureDomain) const;
 
-    /// @return a promise that ends when the deployment or a target differs, or after the time.
+    /// Waits until the feed differs from what an entry knows or this control VM has lost the quorum.
+    /// @param deployment the known revision of the deployment.
+    /// @param change the known number of the latest target change.
+    /// @return a promise that is fulfilled then, or after atMost at the latest.
     kj::Promise<void> waitForUpdate(std::uint64_t deployment, std::uint64_t change, kj::Duration atMost);
-    /// @return a promise that ends when the log is applied up to an index, or fails after the time.
+    /// @return a promise that is fulfilled when the log is applied up to an index, and rejected after atMost.
     kj::Promise<void> waitForApplied(std::uint64_t index, kj::Duration atMost);
 
 private:
@@ -112,17 +119,18 @@
     core::instant m_lastTick {};
     core::target_directory m_directory;
     core::part_directory m_parts;
-    std::vector<core::part_store> m_stores; // of the deployment in force
+    std::vector<core::part_store> m_stores; // from the current deployment
+    /// The latest load report of a target.
     struct received_load {
         core::target_load load;
         core::instant sentAt {};
         bool isDirect = false;
     };
     std::map<std::string, received_load> m_loadReports; // by target
-    std::uint64_t m_targetClock = 0; // the targets' clock when it was last told
+    std::uint64_t m_targetClock = 0; // milliseconds, as last read; 0: unknown
     core::instant m_targetClockReadAt {};
     std::map<std::string, control_peer_state> m_peers; // by address
-    std::map<std::string, core::instant> m_followers; // by name
+    std::map<std::string, core::instant> m_followers; // last seen, by entry name
     std::list<waiter> m_waiters;
 };
 
