--- a/packages/control/src/plumfold_load_poller.cpp
+++ b/packages/control/src/plumfold_load_poller.cpp
@@ -8,7 +8,7 @@
 
 constexpr core::milliseconds pollInterval { 250 };
 constexpr core::milliseconds reportTimeout { 150 };
-/// A target that failed to answer so often in a row counts as silent until it announces itself again.
+/// Number of consecutive failed polls after which a target counts as silent until its next announcement.
 constexpr unsigned failuresUntilSilent = 3;
 
 } // namespace
--- a/packages/control/src/plumfold_load_poller.hpp
+++ b/packages/control/src/plumfold_load_poller.hpp
@@ -11,8 +11,8 @@
 
 namespace plumfold::control {
 
-/// The duty that reads the reports of the model engines nearest to this control VM, so that each is asked
-/// once and not by every entry.
+/// Thread that polls the load reports of the model engines assigned to this control VM, so that an engine is
+/// not polled by every entry. Marks engines that do not answer as silent.
 class load_poller {
 public:
     load_poller(wire::rpc_thread& rpc, deployment_feed& feed);
@@ -22,7 +22,7 @@
     struct polled_target {
         std::string address;
         std::unique_ptr<platform::target_report_reader> reader;
-        unsigned failures = 0; // in a row
+        unsigned failures = 0; // consecutive
     };
 
     void run();
--- a/packages/control/src/plumfold_part_pollers.cpp
+++ b/packages/control/src/plumfold_part_pollers.cpp
@@ -11,15 +11,15 @@
 namespace {
 
 constexpr core::milliseconds assignInterval { 100 };
-/// How long a holder keeps a call waiting for events; it bounds how old our knowledge may be.
+/// How long a holder may delay its response until there is an event. Each response confirms the known parts,
+/// so this also limits the age of the last confirmation.
 constexpr core::milliseconds longPollWait { 500 };
-/// Events that follow each other closely are read together.
-constexpr core::milliseconds batchDelay { 100 };
+constexpr core::milliseconds batchDelay { 100 }; // lets events accumulate, to read them in one call
 constexpr core::milliseconds retryPause { 200 };
 
 } // namespace
 
-/// The duty that reads one holder.
+/// Thread that long-polls one holder.
 class part_pollers::poller {
 public:
     poller(wire::rpc_thread& rpc, deployment_feed& feed, std::string holder)
@@ -58,7 +58,7 @@
     {
         bool startsGeneration = m_generation == 0 || events.epoch != m_epoch;
         if (startsGeneration && m_next != 0) {
-            // The numbers belong to the holder's former life.
+            // The sequence number was from an earlier epoch of the holder: read from the start.
             startGeneration(events.epoch);
             return;
         }
@@ -125,8 +125,8 @@
     std::string m_holder;
     platform::part_event_reader m_client;
     std::uint64_t m_epoch = 0;
-    std::uint64_t m_next = 0;
-    std::uint64_t m_generation = 0; // 0: the holder is not known
+    std::uint64_t m_next = 0; // sequence number of the next event
+    std::uint64_t m_generation = 0; // 0: none started
     std::atomic<bool> m_stopping { false };
     std::thread m_thread;
 };
--- a/packages/control/src/plumfold_part_pollers.hpp
+++ b/packages/control/src/plumfold_part_pollers.hpp
@@ -11,8 +11,8 @@
 
 namespace plumfold::control {
 
-/// Reads the events of the stores and engines that this control VM is the nearest to, a thread for each, and
-/// tells the feed which parts each holds whole.
+/// Long-polls the part events of the stores and engines assigned to this control VM, with one thread per
+/// holder, and applies them to the feed.
 class part_pollers {
 public:
     part_pollers(wire::rpc_thread& rpc, deployment_feed& feed);
