--- a/packages/control/src/plumfold_platform_api_server.cpp
+++ b/packages/control/src/plumfold_platform_api_server.cpp
@@ -17,10 +17,10 @@
 using Poco::Net::HTTPResponse;
 
 constexpr int maxConnections = 200;
-constexpr std::size_t maxCallBytes = 16 << 20;
-/// Operators try another control VM when they get no answer within a second.
+constexpr std::size_t maxCallBytes = 16 << 20; // of the request body
+/// Below the second after which operators try another control VM.
 constexpr auto responseTimeout = 850 * kj::MILLISECONDS;
-/// A configuration with many routes is given more time.
+/// Longer limit for bodies above largeBodyBytes, such as a configuration with many routes.
 constexpr auto largeResponseTimeout = 1500 * kj::MILLISECONDS;
 constexpr std::size_t largeBodyBytes = 64 << 10;
 
@@ -35,7 +35,7 @@
     return { status, body.dump() };
 }
 
-/// Answers one call. Runs on a thread of the listener.
+/// Executes one call on a thread of the listener and returns its response.
 class call_visitor {
 public:
     call_visitor(platform_api_context& context, std::string body)
@@ -154,7 +154,7 @@
             isAnnouncement = std::holds_alternative<platform::announce_call>(call);
             answer = std::visit(call_visitor(m_context, std::move(*body)), call);
         }
-        // Announcements come every second from each target; their changes are logged by the feed.
+        // Each target announces itself every second; the feed logs changes.
         if (!isAnnouncement) {
             auto duration = std::chrono::duration_cast<core::milliseconds>(runtime::now() - receivedAt);
             runtime::log_event("call_answered")
--- a/packages/control/src/plumfold_platform_api_server.hpp
+++ b/packages/control/src/plumfold_platform_api_server.hpp
@@ -7,7 +7,7 @@
 
 namespace plumfold::control {
 
-/// What the calls of targets and operators need. The feed and the leader client live on the RPC duty.
+/// Dependencies of the call handlers. The feed and the leader client are used only on the RPC thread.
 struct platform_api_context {
     wire::rpc_thread& rpc;
     const runtime::settings& settings;
@@ -15,9 +15,10 @@
     leader_client& leader;
 };
 
-/// Serves the calls of targets and of the platform's operators over HTTP.
+/// HTTP server for the calls of targets and of the platform's operators.
 class platform_api_server {
 public:
+    /// @throws Poco::Exception when the platform address cannot be bound.
     explicit platform_api_server(platform_api_context context);
 
 private:
--- a/packages/control/src/plumfold_weight_rollout_thread.cpp
+++ b/packages/control/src/plumfold_weight_rollout_thread.cpp
@@ -13,12 +13,13 @@
 constexpr core::milliseconds stepInterval { 100 };
 constexpr core::milliseconds callTimeout { 400 };
 constexpr core::milliseconds checkInterval { 300 };
-/// An order that was not answered may still be carried out some seconds later.
+/// After this time an order counts as lost if the target sends no reports; an order without a response may
+/// still be executed some seconds later.
 constexpr core::milliseconds orderOutcomeTimeout { 6'000 };
 constexpr core::milliseconds retryPause { 500 };
 constexpr auto leaseCallTimeout = 1000 * kj::MILLISECONDS;
-/// The lease is kept in the log for twice the time that its holder uses it, so that two holders never give
-/// orders within one lease time of each other.
+/// The replicated lease lasts twice as long as its holder uses it, so that orders of two holders are at least
+/// one lease time apart.
 constexpr int leaseTimeFactor = 2;
 
 } // namespace
@@ -59,10 +60,10 @@
             if (entry.last.state != core::target_state::ready)
                 continue;
             for (const auto& model : entry.last.models) {
-                auto currentVersion = view.deployment->weights.find(model.model);
-                if (currentVersion != view.deployment->weights.end()
-                    && std::to_string(currentVersion->second) != model.version)
-                    stale.push_back({ name, entry.last.address, model.model, currentVersion->second });
+                auto current = view.deployment->weights.find(model.model);
+                if (current != view.deployment->weights.end()
+                    && std::to_string(current->second) != model.version)
+                    stale.push_back({ name, entry.last.address, model.model, current->second });
             }
         }
         return stale;
@@ -141,6 +142,7 @@
         m_loads.erase(target.name);
         return;
     }
+    // A target that stays idle without the version did not execute the order.
     bool lost = report.ok() ? !report->isBusy && now - load.orderedAt > core::milliseconds(2000)
                             : now - load.orderedAt > orderOutcomeTimeout;
     if (!lost)
--- a/packages/control/src/plumfold_weight_rollout_thread.hpp
+++ b/packages/control/src/plumfold_weight_rollout_thread.hpp
@@ -10,8 +10,8 @@
 
 namespace plumfold::control {
 
-/// The duty that brings targets to the named weight versions. Only the leader's duty gives orders, under a
-/// lease that it takes when there is something to order and lets run out afterwards.
+/// Thread that rolls out the current weight versions to targets. It sends orders only on the leader, under a
+/// lease that it acquires when a target is stale and lets expire afterwards.
 class weight_rollout_thread {
 public:
     weight_rollout_thread(wire::rpc_thread& rpc, const runtime::settings& settings, deployment_feed& feed,
@@ -19,7 +19,7 @@
     ~weight_rollout_thread();
 
 private:
-    /// A target that has other weights than those that are named.
+    /// A target that has not loaded the current weight version of one of its models.
     struct stale_target {
         std::string name;
         std::string address;
@@ -27,6 +27,7 @@
         std::uint64_t currentVersion = 0;
         auto operator<=>(const stale_target&) const = default;
     };
+    /// A load that was ordered, or found in progress or complete before its order.
     struct load_in_progress {
         std::string model;
         std::uint64_t version = 0;
@@ -36,9 +37,14 @@
 
     void run();
     void step();
+    /// @return the ready targets with stale weights; empty unless this control VM leads and has a quorum.
     std::vector<stale_target> findStaleTargets();
+    /// Acquires the lease, or renews it when a third of its time has passed.
+    /// @return whether orders may be sent.
     bool acquireLease();
+    /// Checks the progress of a load and removes it when it is complete or lost.
     void checkLoad(const stale_target& target, load_in_progress& load);
+    /// Orders a target to load its current version, unless it is busy or has loaded it already.
     void sendOrder(const stale_target& target);
 
     wire::rpc_thread& m_rpc;
@@ -47,7 +53,7 @@
     leader_client& m_leader;
     platform::target_client m_client;
     std::map<std::string, load_in_progress> m_loads; // by target
-    std::map<std::string, core::instant> m_nextAttemptAt; // by target: when it may be asked again
+    std::map<std::string, core::instant> m_nextAttemptAt; // by target: earliest time of the next order
     std::uint64_t m_fencingToken = 0;
     core::instant m_leaseRequestedAt {};
     bool m_hasLease = false;
