--- a/packages/store/src/plumfold_block_service.cpp
+++ b/packages/store/src/plumfold_block_service.cpp
@@ -108,10 +108,10 @@
     store_context& m_context;
 };
 
-/// Names a block in a path: /v1/blocks/{ticket}/{index}.
+/// Decoded path /v1/blocks/{ticket}/{index}.
 struct block_path {
     core::ticket_number ticket = 0;
-    std::optional<std::uint32_t> index;
+    std::optional<std::uint32_t> index; ///< Position in the chain; empty in a path without index.
 };
 
 std::optional<block_path> parseBlockPath(const std::string& uri)
@@ -167,7 +167,7 @@
         Poco::Net::HTTPServerResponse& response)
     {
         auto body = runtime::readBody(request.stream(), maxBlockBytes);
-        // A body that was cut must not become a block.
+        // Rejects a truncated body.
         bool isComplete = body && request.hasContentLength()
             && static_cast<std::size_t>(request.getContentLength64()) == body->size();
         if (!isComplete) {
--- a/packages/store/src/plumfold_block_service.hpp
+++ b/packages/store/src/plumfold_block_service.hpp
@@ -9,18 +9,19 @@
 
 namespace plumfold::store {
 
-/// What the store's calls share. The blocks belong to the RPC duty.
+/// State shared by the store's call handlers. The blocks are used only on the RPC thread.
 struct store_context {
     const runtime::settings& settings;
     wire::rpc_thread& rpc;
     core::block_store blocks;
 };
 
-/// @return the interface that entries call.
+/// @return the RPC interface for entries; it must not outlive the context.
 wire::Store::Client makeStoreService(store_context& context);
 
-/// Engines' side over HTTP: `GET /v1/blocks/{ticket}/{index}` reads a leased block, `PUT` writes an allocated
-/// one, `DELETE /v1/blocks/{ticket}` ends a lease.
+/// Handles the HTTP requests of engines: `GET /v1/blocks/{ticket}/{index}` reads a leased block, `PUT` on the
+/// same path writes an allocated one, `DELETE /v1/blocks/{ticket}` ends a lease.
+/// @return the handler factory; it must not outlive the context.
 Poco::Net::HTTPRequestHandlerFactory::Ptr makeBlockHandlers(store_context& context);
 
 } // namespace plumfold::store
