--- a/packages/control/src/plumfold_peer_links.cpp
+++ b/packages/control/src/plumfold_peer_links.cpp
@@ -78,7 +78,7 @@
         if (entry.isDirect && (all || entry.change > to.sharedChange))
             announcements.push_back(&entry.last);
     }
-    auto holders = feed.ownHolders();
+    auto holders = feed.assignedHolders();
     auto loads = feed.loads(true);
     bool partsDue = !(holders.empty() && loads.empty()) && now - to.sharedPartsAt > sharePartsInterval;
     if (to.shareInFlight || (announcements.empty() && !all && !partsDue))
