--- a/packages/entry/src/plumfold_caller_api.cpp
+++ b/packages/entry/src/plumfold_caller_api.cpp
@@ -1,7 +1,7 @@
 #include "plumfold_caller_api.hpp"
 
-#include "plumfold_answer_writer.hpp"
 #include "plumfold_completion_flow.hpp"
+#include "plumfold_response_writer.hpp"
 #include "plumfold_service_flow.hpp"
 
 #include "plumfold/core/plumfold_hash.hpp"
@@ -25,7 +25,7 @@
 using core::error_kind;
 using core::run_state;
 
-constexpr core::milliseconds retryAfterStop { 500 };
+constexpr core::milliseconds retryAfterShutdown { 500 };
 constexpr std::size_t requestIdBytes = 12;
 constexpr std::streamsize maxDroppedBytes = 16 << 20;
 constexpr std::string_view servicesPrefix = "/v1/services/";
@@ -58,7 +58,7 @@
             else if (request.getURI().starts_with(servicesPrefix))
                 onService(request, response);
             else
-                refuse(request, response,
+                reject(request, response,
                     { error_kind::bad_request, run_state::not_run, "no such path: see docs/callers.md",
                         std::nullopt });
         } catch (const Poco::Exception& error) {
@@ -70,7 +70,7 @@
 private:
     /// Answers without using the body. The rest of it is read and dropped, since closing a connection with
     /// unread bytes would take the answer away from the caller.
-    static void refuse(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response,
+    static void reject(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response,
         const error_info& error)
     {
         request.stream().ignore(maxDroppedBytes);
@@ -78,23 +78,23 @@
         sendError(response, error);
     }
 
-    bool refuseWhenStopping(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
+    bool rejectWhenStopping(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
         if (!m_context.stopping)
             return false;
-        refuse(request, response,
+        reject(request, response,
             { error_kind::shutting_down, run_state::not_run, "this entry is stopping: send the request again",
-                retryAfterStop });
+                retryAfterShutdown });
         return true;
     }
 
     /// Checks who calls and what the headers say.
-    absl::StatusOr<request_flow> begin(Poco::Net::HTTPServerRequest& request)
+    absl::StatusOr<request_flow> createFlow(Poco::Net::HTTPServerRequest& request)
     {
-        auto snapshot = m_context.duty.snapshot();
+        auto snapshot = m_context.dispatchThread.snapshot();
         if (!snapshot.configurationKnown) {
             return core::toStatus({ error_kind::control_unavailable, run_state::not_run,
-                "this entry has not learned the configuration yet: come back later", retryAfterStop });
+                "this entry has not learned the configuration yet: come back later", retryAfterShutdown });
         }
         auto customer = authenticate(request, *snapshot.config);
         if (!customer.ok())
@@ -103,9 +103,9 @@
         if (!headers.ok())
             return headers.status();
         auto now = runtime::now();
-        auto outer = runtime::trace_context::fromHeader(headers->traceparent);
+        auto callerTrace = runtime::trace_context::fromHeader(headers->traceparent);
         request_flow flow { m_context, request, std::move(*customer), std::move(*headers),
-            runtime::randomHex(requestIdBytes), now, now, outer.child(), 0 };
+            runtime::randomHex(requestIdBytes), now, now, callerTrace.child(), 0 };
         flow.deadline = now + flow.headers.deadline;
         return flow;
     }
@@ -114,19 +114,19 @@
         Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
         std::uint64_t limit = m_context.settings.entry->maxBodyBytes;
-        bool announced
+        bool declaredTooLarge
             = request.hasContentLength() && static_cast<std::uint64_t>(request.getContentLength64()) > limit;
-        auto body = announced ? nullptr : runtime::readBody(request.stream(), limit);
+        auto body = declaredTooLarge ? nullptr : runtime::readBody(request.stream(), limit);
         if (!body) {
-            refuse(request, response,
+            reject(request, response,
                 { error_kind::too_large, run_state::not_run,
                     "the body may have at most " + std::to_string(limit) + " bytes", std::nullopt });
             return nullptr;
         }
-        bool cut = request.hasContentLength()
+        bool truncated = request.hasContentLength()
             && static_cast<std::uint64_t>(request.getContentLength64()) != body->size();
-        if (cut) {
-            refuse(request, response,
+        if (truncated) {
+            reject(request, response,
                 { error_kind::bad_request, run_state::not_run,
                     "the body is shorter than its length: send it again", std::nullopt });
             return nullptr;
@@ -142,21 +142,21 @@
     }
 
     /// A call whose sender is known and whose body has been read.
-    struct opened_call {
+    struct received_call {
         request_flow flow;
         std::string body;
     };
 
     /// Begins a call that runs work.
     /// @return nothing when it was refused; the caller has its answer then.
-    std::optional<opened_call> open(
+    std::optional<received_call> receiveCall(
         Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
-        if (refuseWhenStopping(request, response))
+        if (rejectWhenStopping(request, response))
             return std::nullopt;
-        auto flow = begin(request);
+        auto flow = createFlow(request);
         if (!flow.ok()) {
-            refuse(request, response, core::errorInfoOf(flow.status()));
+            reject(request, response, core::errorInfoOf(flow.status()));
             return std::nullopt;
         }
         auto body = readBody(request, response);
@@ -164,16 +164,16 @@
             return std::nullopt;
         flow->fingerprint = fingerprintOf(*flow, *body);
         response.set("X-Plumfold-Request-Id", flow->requestId);
-        return opened_call { std::move(*flow), std::move(*body) };
+        return received_call { std::move(*flow), std::move(*body) };
     }
 
     void onCompletion(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
-        auto opened = open(request, response);
-        if (!opened)
+        auto received = receiveCall(request, response);
+        if (!received)
             return;
-        auto& [flow, body] = *opened;
-        auto config = m_context.duty.snapshot().config;
+        auto& [flow, body] = *received;
+        auto config = m_context.dispatchThread.snapshot().config;
         bool chat = request.getURI() == "/v1/chat/completions";
         auto completion = readCompletion(body, chat, flow.customer, *config);
         if (!completion.ok())
@@ -184,15 +184,15 @@
 
     void onService(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
-        auto opened = open(request, response);
-        if (!opened)
+        auto received = receiveCall(request, response);
+        if (!received)
             return;
-        auto& [flow, body] = *opened;
+        auto& [flow, body] = *received;
         std::string rest = request.getURI().substr(servicesPrefix.size());
         std::size_t end = rest.find_first_of("/?");
         std::string name = rest.substr(0, end);
         std::string path = end == std::string::npos ? "" : rest.substr(end);
-        auto config = m_context.duty.snapshot().config;
+        auto config = m_context.dispatchThread.snapshot().config;
         const auto* service = config->service(name);
         const auto& open = flow.customer.models;
         if (!service || std::find(open.begin(), open.end(), name) == open.end()) {
@@ -219,11 +219,11 @@
 
     void onModels(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
-        auto flow = begin(request);
+        auto flow = createFlow(request);
         if (!flow.ok())
-            return refuse(request, response, core::errorInfoOf(flow.status()));
+            return reject(request, response, core::errorInfoOf(flow.status()));
         nlohmann::json list = nlohmann::json::array();
-        auto config = m_context.duty.snapshot().config;
+        auto config = m_context.dispatchThread.snapshot().config;
         for (const auto& name : flow->customer.models) {
             if (config->model(name))
                 list.push_back({ { "id", name }, { "object", "model" } });
@@ -239,7 +239,7 @@
 
     void onReady(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse& response)
     {
-        auto snapshot = m_context.duty.snapshot();
+        auto snapshot = m_context.dispatchThread.snapshot();
         bool ready = snapshot.configurationKnown && !m_context.stopping;
         if (!ready)
             response.setStatus(Poco::Net::HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
@@ -256,7 +256,7 @@
 
     void onMetrics(Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse& response)
     {
-        auto snapshot = m_context.duty.snapshot();
+        auto snapshot = m_context.dispatchThread.snapshot();
         m_context.metrics.set("plumfold_waiting", static_cast<double>(snapshot.waiting));
         m_context.metrics.set("plumfold_running", static_cast<double>(snapshot.running));
         m_context.metrics.set("plumfold_targets", static_cast<double>(snapshot.targets));
@@ -276,9 +276,9 @@
     entry_context& m_context;
 };
 
-class caller_factory final : public Poco::Net::HTTPRequestHandlerFactory {
+class caller_handler_factory final : public Poco::Net::HTTPRequestHandlerFactory {
 public:
-    explicit caller_factory(entry_context& context)
+    explicit caller_handler_factory(entry_context& context)
         : m_context(context)
     {
     }
@@ -302,8 +302,8 @@
 } // namespace
 
 caller_api::caller_api(entry_context& context)
-    : m_http(
-        context.settings.entry->callerAddress, new caller_factory(context), callerLimits(context.settings))
+    : m_http(context.settings.entry->callerAddress, new caller_handler_factory(context),
+        callerLimits(context.settings))
 {
 }
 
--- a/packages/entry/src/plumfold_caller_request.cpp
+++ b/packages/entry/src/plumfold_caller_request.cpp
@@ -15,7 +15,7 @@
 using core::error_kind;
 using json = nlohmann::json;
 
-constexpr std::size_t maxKeyBytes = 256;
+constexpr std::size_t maxIdempotencyKeyBytes = 256;
 constexpr std::uint64_t maxDeadlineMs = 3'600'000;
 constexpr std::uint8_t lowestPriority = 2;
 constexpr std::uint32_t defaultMaxTokens = 256;
@@ -81,7 +81,7 @@
     headers.idempotencyKey = request.get("Idempotency-Key", "");
     headers.traceparent = request.get("traceparent", "");
     headers.deadline = defaultDeadline;
-    if (headers.idempotencyKey.size() > maxKeyBytes)
+    if (headers.idempotencyKey.size() > maxIdempotencyKeyBytes)
         return callerError(error_kind::bad_request, "Idempotency-Key may have at most 256 bytes");
     std::string idempotent = request.get("X-Plumfold-Idempotent", "true");
     if (idempotent != "true" && idempotent != "false")
--- a/packages/entry/src/plumfold_completion_flow.cpp
+++ b/packages/entry/src/plumfold_completion_flow.cpp
@@ -12,13 +12,13 @@
 using core::milliseconds;
 
 // A run whose first token is this many times later than predicted is given up, but not before the floor.
-constexpr int firstTokenPatience = 10;
-constexpr milliseconds firstTokenFloor { 3000 };
+constexpr int firstTokenTimeoutFactor = 10;
+constexpr milliseconds minFirstTokenTimeout { 3000 };
 constexpr milliseconds tokenTimeout { 2000 };
-constexpr milliseconds leftCheckInterval { 50 };
-constexpr milliseconds readLease { 5000 };
-constexpr milliseconds writeLease { 20'000 };
-constexpr std::uint64_t maxExportsUnderWay = 4;
+constexpr milliseconds disconnectCheckInterval { 50 };
+constexpr milliseconds readLeaseTime { 5000 };
+constexpr milliseconds writeLeaseTime { 20'000 };
+constexpr std::uint64_t maxConcurrentExports = 4;
 
 milliseconds since(core::instant start)
 {
@@ -31,13 +31,13 @@
 class completion_flow::relay final : public token_sink {
 public:
     explicit relay(completion_flow& owner)
-        : m_owner(owner)
+        : m_completion(owner)
     {
     }
 
     bool onToken(std::uint32_t index, const std::string& text) override
     {
-        switch (m_owner.m_assembly.accept(index)) {
+        switch (m_completion.m_assembly.accept(index)) {
         case core::token_verdict::duplicate:
             return true;
         case core::token_verdict::gap:
@@ -46,30 +46,30 @@
         case core::token_verdict::deliver:
             break;
         }
-        if (!m_owner.m_firstToken)
-            m_owner.m_firstToken = since(m_owner.m_flow.arrivedAt);
-        m_callerLeft = !m_owner.m_writer.token(text);
-        return !m_callerLeft;
+        if (!m_completion.m_timeToFirstToken)
+            m_completion.m_timeToFirstToken = since(m_completion.m_flow.arrivedAt);
+        m_isDisconnected = !m_completion.m_writer.writeToken(text);
+        return !m_isDisconnected;
     }
 
     bool onPause() override
     {
-        m_callerLeft = !m_owner.m_writer.flush();
+        m_isDisconnected = !m_completion.m_writer.flush();
         // Asking the socket costs as much as a token, so it is not asked each time.
-        if (runtime::now() >= m_nextLeftCheck) {
-            m_nextLeftCheck = runtime::now() + leftCheckInterval;
-            m_callerLeft = m_callerLeft || m_owner.m_flow.callerHasLeft();
+        if (runtime::now() >= m_nextDisconnectCheck) {
+            m_nextDisconnectCheck = runtime::now() + disconnectCheckInterval;
+            m_isDisconnected = m_isDisconnected || m_completion.m_flow.isCallerDisconnected();
         }
-        return !m_callerLeft && !m_owner.m_flow.context.aborting;
+        return !m_isDisconnected && !m_completion.m_flow.context.aborting;
     }
 
     bool gap() const { return m_gap; }
 
 private:
-    completion_flow& m_owner;
+    completion_flow& m_completion;
     bool m_gap = false;
-    bool m_callerLeft = false;
-    core::instant m_nextLeftCheck {};
+    bool m_isDisconnected = false;
+    core::instant m_nextDisconnectCheck {};
 };
 
 completion_flow::completion_flow(
@@ -82,7 +82,7 @@
 
 void completion_flow::run()
 {
-    if (!m_flow.headers.idempotent && !takeClaim())
+    if (!m_flow.headers.idempotent && !acquireClaim())
         return;
     m_spec = makeSpec();
     leaseFromStore(m_spec);
@@ -102,8 +102,8 @@
         if (report.answerStarted)
             m_spec.version = plan->version;
         if (result.outcome != attempt_outcome::not_reached && result.outcome != attempt_outcome::refused)
-            m_reachedTarget = true;
-        plan = m_flow.dispatchAgain(m_spec, report);
+            m_attemptMayHaveRun = true;
+        plan = m_flow.dispatchRetry(m_spec, report);
     }
     if (!plan.ok())
         fail(plan.status());
@@ -111,42 +111,43 @@
         m_flow.context.stores.endLease(*m_lease);
 }
 
-bool completion_flow::takeClaim()
+bool completion_flow::acquireClaim()
 {
     if (m_flow.headers.idempotencyKey.empty()) {
-        m_writer.fail({ core::error_kind::idempotency_key_missing, core::run_state::not_run,
+        m_writer.writeError({ core::error_kind::idempotency_key_missing, core::run_state::not_run,
             "a call marked as not idempotent needs an Idempotency-Key header", std::nullopt });
         return false;
     }
     auto from = runtime::now();
     m_claim.emplace(m_flow.context, core::claim_key { m_flow.customer.name, m_flow.headers.idempotencyKey },
         m_flow.fingerprint, m_flow.headers.deadline);
-    auto taken = m_claim->take();
+    auto acquired = m_claim->acquire();
     m_flow.writeSpan("control", from, { { "call", "claim" } });
-    if (taken.ok() && !*taken)
+    if (acquired.ok() && !*acquired)
         return true;
-    m_flow.logEnd("completion", taken.ok() ? "replayed" : "claim_refused", 0);
-    if (taken.ok())
-        m_writer.replay(**taken);
+    m_flow.logEnd("completion", acquired.ok() ? "replayed" : "claim_refused", 0);
+    if (acquired.ok())
+        m_writer.replay(**acquired);
     else
-        m_writer.fail(core::errorInfoOf(taken.status()));
+        m_writer.writeError(core::errorInfoOf(acquired.status()));
     return false;
 }
 
 core::request_spec completion_flow::makeSpec()
 {
-    auto config = m_flow.context.duty.snapshot().config;
+    auto config = m_flow.context.dispatchThread.snapshot().config;
     const auto* version = config->weightVersion(m_request.model);
-    m_owner = { m_flow.customer.name, m_request.model, m_request.adapter, version ? version->version : "" };
+    m_chainOwner
+        = { m_flow.customer.name, m_request.model, m_request.adapter, version ? version->version : "" };
     core::request_spec spec;
-    spec.number = m_flow.context.duty.nextRequest();
+    spec.number = m_flow.context.dispatchThread.nextRequest();
     spec.customer = m_flow.customer.name;
     spec.model = m_request.model;
     spec.adapter = m_request.adapter;
     spec.fingerprint = m_flow.fingerprint;
     spec.promptTokens = core::estimatePromptTokens(m_request.prompt.size());
     spec.maxTokens = m_request.maxTokens;
-    spec.chain = core::chainOf(m_owner, m_request.prompt);
+    spec.chain = core::chainOf(m_chainOwner, m_request.prompt);
     spec.priority = m_flow.headers.priority;
     spec.deadline = m_flow.deadline;
     spec.idempotent = m_flow.headers.idempotent;
@@ -158,7 +159,7 @@
     if (spec.chain.size() < m_flow.context.settings.entry->minStoreBlocks)
         return;
     auto from = runtime::now();
-    m_lease = m_flow.context.stores.lease(m_owner, spec.chain, readLease);
+    m_lease = m_flow.context.stores.lease(m_chainOwner, spec.chain, readLeaseTime);
     m_flow.writeSpan("store", from, { { "blocks", std::to_string(m_lease ? m_lease->lease.blocks : 0) } });
     if (!m_lease)
         return;
@@ -179,10 +180,11 @@
     call.resumeText = m_writer.text();
     call.priority = m_flow.headers.priority;
     call.traceparent = m_flow.trace.child().toHeader();
-    call.firstTokenTimeout = std::max(firstTokenFloor, firstTokenPatience * plan.expectedFirstToken);
+    call.firstTokenTimeout
+        = std::max(minFirstTokenTimeout, firstTokenTimeoutFactor * plan.expectedFirstToken);
     call.tokenTimeout = tokenTimeout;
     // Blocks of the version that was in force at the start must not meet a run on another version.
-    bool sameVersion = plan.version == m_owner.version;
+    bool sameVersion = plan.version == m_chainOwner.version;
     if (sameVersion)
         call.chain = m_spec.chain;
     if (sameVersion && m_lease && plan.importBlocks > 0) {
@@ -190,7 +192,7 @@
         call.importBlocks = plan.importBlocks;
         std::uint64_t bytes
             = m_lease->lease.bytes * (plan.importBlocks - plan.cachedBlocks) / m_lease->lease.blocks;
-        m_flow.context.duty.tryPost(transfer_event { bytes });
+        m_flow.context.dispatchThread.tryPost(transfer_event { bytes });
         m_flow.context.metrics.count("plumfold_import_bytes_total", bytes);
     }
     return call;
@@ -244,37 +246,39 @@
     const core::dispatch_plan& plan, const completion_result& result, const core::attempt_report& report)
 {
     // The permit goes back first: the place on the target is free whatever the caller does.
-    m_flow.context.duty.post(finished_event { m_spec.number, report });
-    answer_end end { result.finishReason, result.promptTokens, result.cachedTokens, m_assembly.next() };
+    m_flow.context.dispatchThread.post(finished_event { m_spec.number, report });
+    completion_summary summary { result.finishReason, result.promptTokens, result.cachedTokens,
+        m_assembly.next() };
     if (result.outcome == attempt_outcome::cancelled) {
         if (m_flow.context.aborting)
-            m_writer.fail(core::errorInfoOf(graceOver(core::run_state::unknown)));
+            m_writer.writeError(core::errorInfoOf(gracePeriodExpiredStatus(core::run_state::unknown)));
         if (m_claim)
-            m_claim->unknown();
-        recordUsage(end, true);
+            m_claim->reportUnknown();
+        recordUsage(summary, true);
         m_flow.logEnd("completion", "caller_left", m_attempts);
         return;
     }
     if (m_claim)
-        m_claim->completed(m_writer.stored(end));
-    m_writer.end(end);
-    recordUsage(end, false);
-    if (m_firstToken)
-        m_flow.context.metrics.observe("plumfold_first_token_ms", static_cast<double>(m_firstToken->count()));
-    m_flow.context.metrics.count("plumfold_prompt_tokens_total", end.promptTokens);
-    m_flow.context.metrics.count("plumfold_cached_tokens_total", end.cachedTokens);
+        m_claim->reportCompleted(m_writer.toStoredResponse(summary));
+    m_writer.finish(summary);
+    recordUsage(summary, false);
+    if (m_timeToFirstToken)
+        m_flow.context.metrics.observe(
+            "plumfold_first_token_ms", static_cast<double>(m_timeToFirstToken->count()));
+    m_flow.context.metrics.count("plumfold_prompt_tokens_total", summary.promptTokens);
+    m_flow.context.metrics.count("plumfold_cached_tokens_total", summary.cachedTokens);
     m_flow.logEnd("completion", "ok", m_attempts);
     exportToStore(plan);
 }
 
 void completion_flow::fail(const absl::Status& status)
 {
-    bool mayHaveRun = m_reachedTarget || m_assembly.next() > 0;
+    bool mayHaveRun = m_attemptMayHaveRun || m_assembly.next() > 0;
     if (m_claim) {
         if (mayHaveRun)
-            m_claim->unknown();
+            m_claim->reportUnknown();
         else
-            m_claim->notRun();
+            m_claim->reportNotRun();
     }
     if (mayHaveRun)
         recordUsage({ "error", m_spec.promptTokens, 0, m_assembly.next() }, true);
@@ -288,19 +292,19 @@
     // A caller that sends it again through another entry must not find one that does not know yet.
     if (error.kind == core::error_kind::crashes_targets && m_attempts > 0)
         m_flow.context.mesh.shareSuspect({ m_flow.fingerprint, core::crashesToCondemn });
-    m_writer.fail(error);
+    m_writer.writeError(error);
     m_flow.logEnd("completion", core::errorKindName(error.kind), m_attempts);
 }
 
-void completion_flow::recordUsage(const answer_end& end, bool failed)
+void completion_flow::recordUsage(const completion_summary& summary, bool failed)
 {
     core::usage_row row;
     row.customer = m_flow.customer.name;
     row.model = m_request.model;
     row.requests = 1;
-    row.promptTokens = end.promptTokens;
-    row.cachedTokens = end.cachedTokens;
-    row.outputTokens = end.outputTokens;
+    row.promptTokens = summary.promptTokens;
+    row.cachedTokens = summary.cachedTokens;
+    row.outputTokens = summary.outputTokens;
     row.failed = failed ? 1 : 0;
     m_flow.context.usage.add(row);
 }
@@ -311,27 +315,27 @@
 {
     auto& context = m_flow.context;
     bool worthwhile = m_spec.chain.size() >= context.settings.entry->minStoreBlocks
-        && m_spec.chain.size() > m_spec.storeBlocks && plan.version == m_owner.version;
-    if (!worthwhile || !context.duty.snapshot().backgroundTransferAllowed)
+        && m_spec.chain.size() > m_spec.storeBlocks && plan.version == m_chainOwner.version;
+    if (!worthwhile || !context.dispatchThread.snapshot().backgroundTransferAllowed)
         return;
-    if (context.exportsUnderWay.fetch_add(1) >= maxExportsUnderWay) {
-        context.exportsUnderWay.fetch_sub(1);
+    if (context.activeExports.fetch_add(1) >= maxConcurrentExports) {
+        context.activeExports.fetch_sub(1);
         return;
     }
     auto blockBytes = static_cast<std::uint32_t>(context.settings.entry->kvBlockBytes);
-    auto lease = context.stores.allocate(m_owner, m_spec.chain, blockBytes, writeLease);
+    auto lease = context.stores.allocate(m_chainOwner, m_spec.chain, blockBytes, writeLeaseTime);
     if (lease) {
         export_call call { m_flow.requestId, m_spec.chain, lease->lease.firstBlock, lease->lease.blocks,
             lease->url() };
         std::uint64_t bytes = std::uint64_t(blockBytes) * lease->lease.blocks;
         if (context.targets.exportBlocks(plan.address, call)) {
-            context.duty.tryPost(transfer_event { bytes });
+            context.dispatchThread.tryPost(transfer_event { bytes });
             context.metrics.count("plumfold_export_bytes_total", bytes);
         } else {
             context.stores.endLease(*lease);
         }
     }
-    context.exportsUnderWay.fetch_sub(1);
+    context.activeExports.fetch_sub(1);
 }
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_completion_flow.hpp
+++ b/packages/entry/src/plumfold_completion_flow.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "plumfold_answer_writer.hpp"
-#include "plumfold_claim_guard.hpp"
+#include "plumfold_request_claim.hpp"
 #include "plumfold_request_flow.hpp"
+#include "plumfold_response_writer.hpp"
 
 #include "plumfold/core/plumfold_stream_assembly.hpp"
 
@@ -22,7 +22,7 @@
 private:
     class relay;
 
-    bool takeClaim();
+    bool acquireClaim();
     core::request_spec makeSpec();
     void leaseFromStore(core::request_spec& spec);
     completion_result runAttempt(const core::dispatch_plan& plan);
@@ -33,19 +33,19 @@
         const core::dispatch_plan& plan, const completion_result& result, const core::attempt_report& report);
     void fail(const absl::Status& status);
     void exportToStore(const core::dispatch_plan& plan);
-    void recordUsage(const answer_end& end, bool failed);
+    void recordUsage(const completion_summary& summary, bool failed);
 
     request_flow& m_flow;
     const completion_request& m_request;
-    answer_writer m_writer;
+    response_writer m_writer;
     core::stream_assembly m_assembly;
-    std::optional<claim_guard> m_claim;
+    std::optional<request_claim> m_claim;
     std::optional<store_lease> m_lease;
     core::request_spec m_spec;
-    core::chain_owner m_owner;
+    core::chain_owner m_chainOwner;
     int m_attempts = 0;
-    bool m_reachedTarget = false; // whether an attempt may have run on a target
-    std::optional<core::milliseconds> m_firstToken; // from the request's arrival
+    bool m_attemptMayHaveRun = false; // whether an attempt may have run on a target
+    std::optional<core::milliseconds> m_timeToFirstToken; // from the request's arrival
 };
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_entry_context.hpp
+++ b/packages/entry/src/plumfold_entry_context.hpp
@@ -19,7 +19,7 @@
 struct entry_context {
     const runtime::settings& settings;
     std::uint64_t incarnation;
-    dispatch_duty& duty;
+    dispatch_duty& dispatchThread;
     peer_mesh& mesh;
     target_adapter& targets;
     control_client& control;
@@ -30,7 +30,7 @@
     std::atomic<bool> stopping { false }; ///< New requests are refused.
     std::atomic<bool> aborting { false }; ///< The grace period is over: open requests end with an error.
     std::atomic<int> openRequests { 0 };
-    std::atomic<std::uint64_t> exportsUnderWay { 0 };
+    std::atomic<std::uint64_t> activeExports { 0 };
 };
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_order_duty.cpp
+++ b/packages/entry/src/plumfold_order_duty.cpp
@@ -70,7 +70,7 @@
 
 void order_duty::giveOrders()
 {
-    auto snapshot = m_context.duty.snapshot();
+    auto snapshot = m_context.dispatchThread.snapshot();
     const auto* domain = snapshot.config->failureDomain(m_context.settings.process.failureDomain);
     if (!domain)
         return;
--- a/packages/entry/src/plumfold_claim_guard.cpp
+++ b/packages/entry/src/plumfold_request_claim.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_claim_guard.hpp"
+#include "plumfold_request_claim.hpp"
 
 #include "plumfold_caller_request.hpp"
 
@@ -14,28 +14,28 @@
 constexpr core::milliseconds finishTimeout { 1000 };
 constexpr core::milliseconds releaseTimeout { 30'000 };
 constexpr core::milliseconds retryAfterUnavailable { 1000 };
-constexpr std::size_t holderBytes = 12;
+constexpr std::size_t holderIdBytes = 12;
 
 } // namespace
 
-claim_guard::claim_guard(
-    entry_context& context, core::claim_key key, std::uint64_t fingerprint, core::milliseconds runFor)
+request_claim::request_claim(
+    entry_context& context, core::claim_key key, std::uint64_t fingerprint, core::milliseconds maxRunTime)
     : m_context(context)
 {
     m_claim.key = std::move(key);
     m_claim.fingerprint = fingerprint;
-    m_claim.holder = context.settings.process.name + '/' + runtime::randomHex(holderBytes);
-    m_claim.runUntil = runtime::unixNow() + static_cast<std::uint64_t>((claimTimeout + runFor).count());
+    m_claim.holder = context.settings.process.name + '/' + runtime::randomHex(holderIdBytes);
+    m_claim.runUntil = runtime::unixNow() + static_cast<std::uint64_t>((claimTimeout + maxRunTime).count());
 }
 
-absl::StatusOr<std::optional<core::stored_response>> claim_guard::take()
+absl::StatusOr<std::optional<core::stored_response>> request_claim::acquire()
 {
-    auto answered = m_context.control.submit(core::command { 0, m_claim }, claimTimeout);
-    const auto* result = answered.ok() ? std::get_if<core::claim_result>(&*answered) : nullptr;
+    auto submitted = m_context.control.submit(core::command { 0, m_claim }, claimTimeout);
+    const auto* result = submitted.ok() ? std::get_if<core::claim_result>(&*submitted) : nullptr;
     if (!result) {
         // The claim may have been taken all the same. Nothing will be dispatched under it, so it is given
         // back.
-        notRun();
+        reportNotRun();
         return core::toStatus({ core::error_kind::control_unavailable, core::run_state::not_run,
             "no quorum of control VMs can be reached, so this request cannot be run at most once: come back "
             "later",
@@ -66,25 +66,26 @@
     return callerError(core::error_kind::bad_request, "the claim's state is not known");
 }
 
-void claim_guard::notRun()
+void request_claim::reportNotRun()
 {
     core::finish_claim_command command { m_claim.key, m_claim.holder, core::claim_outcome::not_run, {} };
     m_context.control.submitLater(core::command { 0, std::move(command) }, releaseTimeout);
 }
 
-void claim_guard::completed(const core::stored_response& answer)
+void request_claim::reportCompleted(const core::stored_response& response)
 {
-    finish(core::claim_outcome::completed, answer);
+    finish(core::claim_outcome::completed, response);
 }
 
-void claim_guard::unknown()
+void request_claim::reportUnknown()
 {
     finish(core::claim_outcome::unknown, {});
 }
 
-void claim_guard::finish(core::claim_outcome outcome, const core::stored_response& answer)
+void request_claim::finish(core::claim_outcome outcome, const core::stored_response& response)
 {
-    core::command command { 0, core::finish_claim_command { m_claim.key, m_claim.holder, outcome, answer } };
+    core::command command { 0,
+        core::finish_claim_command { m_claim.key, m_claim.holder, outcome, response } };
     // Kept before the caller is answered, so that a resend after a lost answer finds it. A caller does not
     // wait long for that: without a quorum the answer is worth more than its copy.
     if (m_context.control.submit(command, finishTimeout).ok())
--- a/packages/entry/src/plumfold_request_flow.cpp
+++ b/packages/entry/src/plumfold_request_flow.cpp
@@ -10,23 +10,23 @@
 
 namespace {
 
-constexpr core::milliseconds leftCheckInterval { 50 };
-constexpr core::milliseconds retryAfterStop { 500 };
+constexpr core::milliseconds disconnectCheckInterval { 50 };
+constexpr core::milliseconds retryAfterShutdown { 500 };
 
 } // namespace
 
-absl::Status callerLeft()
+absl::Status callerDisconnectedStatus()
 {
     return absl::CancelledError("the caller has left");
 }
 
-absl::Status graceOver(core::run_state ran)
+absl::Status gracePeriodExpiredStatus(core::run_state ran)
 {
     return core::toStatus({ core::error_kind::shutting_down, ran,
-        "this entry has stopped before the request ended: send it again", retryAfterStop });
+        "this entry has stopped before the request ended: send it again", retryAfterShutdown });
 }
 
-bool request_flow::callerHasLeft()
+bool request_flow::isCallerDisconnected()
 {
     auto& socket = static_cast<Poco::Net::HTTPServerRequestImpl&>(caller).socket();
     try {
@@ -38,21 +38,23 @@
     }
 }
 
-absl::StatusOr<core::dispatch_plan> request_flow::await(core::request_number request, dispatch_ticket& ticket)
+absl::StatusOr<core::dispatch_plan> request_flow::awaitDispatch(
+    core::request_number request, dispatch_ticket& ticket)
 {
     auto from = runtime::now();
     while (true) {
-        auto verdict = ticket.wait(leftCheckInterval);
+        auto verdict = ticket.wait(disconnectCheckInterval);
         if (verdict) {
             writeSpan("queue", from, {});
             if (const auto* error = std::get_if<core::error_info>(&*verdict))
                 return core::toStatus(*error);
             return std::get<core::dispatch_plan>(*verdict);
         }
-        bool left = callerHasLeft();
-        if (left || context.aborting) {
-            context.duty.post(cancel_event { request });
-            return left ? callerLeft() : graceOver(core::run_state::not_run);
+        bool disconnected = isCallerDisconnected();
+        if (disconnected || context.aborting) {
+            context.dispatchThread.post(cancel_event { request });
+            return disconnected ? callerDisconnectedStatus()
+                                : gracePeriodExpiredStatus(core::run_state::not_run);
         }
     }
 }
@@ -60,16 +62,16 @@
 absl::StatusOr<core::dispatch_plan> request_flow::dispatch(const core::request_spec& spec)
 {
     auto ticket = std::make_shared<dispatch_ticket>();
-    context.duty.post(submit_event { spec, ticket });
-    return await(spec.number, *ticket);
+    context.dispatchThread.post(submit_event { spec, ticket });
+    return awaitDispatch(spec.number, *ticket);
 }
 
-absl::StatusOr<core::dispatch_plan> request_flow::dispatchAgain(
+absl::StatusOr<core::dispatch_plan> request_flow::dispatchRetry(
     const core::request_spec& next, const core::attempt_report& report)
 {
     auto ticket = std::make_shared<dispatch_ticket>();
-    context.duty.post(retry_event { next, report, ticket });
-    return await(next.number, *ticket);
+    context.dispatchThread.post(retry_event { next, report, ticket });
+    return awaitDispatch(next.number, *ticket);
 }
 
 void request_flow::writeSpan(
@@ -88,14 +90,14 @@
 
 void request_flow::logEnd(const std::string& kind, const std::string& outcome, int attempts)
 {
-    auto took = std::chrono::duration_cast<core::milliseconds>(runtime::now() - arrivedAt);
+    auto duration = std::chrono::duration_cast<core::milliseconds>(runtime::now() - arrivedAt);
     runtime::log_event("request_end")
         .with("request", requestId)
         .with("kind", kind)
         .with("customer", customer.name)
         .with("outcome", outcome)
         .with("attempts", attempts)
-        .with("ms", took.count());
+        .with("ms", duration.count());
     context.metrics.count("plumfold_requests_total{kind=\"" + kind + "\",outcome=\"" + outcome + "\"}");
 }
 
--- a/packages/entry/src/plumfold_request_flow.hpp
+++ b/packages/entry/src/plumfold_request_flow.hpp
@@ -22,14 +22,14 @@
     std::uint64_t fingerprint = 0;
 
     /// @return whether the caller has closed its connection.
-    bool callerHasLeft();
+    bool isCallerDisconnected();
 
     /// Submits a request and waits for the verdict.
     /// @return the plan to run it by; the error of a refusal; cancelled when the caller left.
     absl::StatusOr<core::dispatch_plan> dispatch(const core::request_spec& spec);
 
     /// Reports a failed attempt and waits for the verdict on the next one.
-    absl::StatusOr<core::dispatch_plan> dispatchAgain(
+    absl::StatusOr<core::dispatch_plan> dispatchRetry(
         const core::request_spec& next, const core::attempt_report& report);
 
     /// Writes a span below the request's own.
@@ -39,13 +39,13 @@
     void logEnd(const std::string& kind, const std::string& outcome, int attempts);
 
 private:
-    absl::StatusOr<core::dispatch_plan> await(core::request_number request, dispatch_ticket& ticket);
+    absl::StatusOr<core::dispatch_plan> awaitDispatch(core::request_number request, dispatch_ticket& ticket);
 };
 
 /// The process stops and its grace period is over.
-absl::Status graceOver(core::run_state ran);
+absl::Status gracePeriodExpiredStatus(core::run_state ran);
 
 /// A request that nobody waits for any more.
-absl::Status callerLeft();
+absl::Status callerDisconnectedStatus();
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_answer_writer.cpp
+++ b/packages/entry/src/plumfold_response_writer.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_answer_writer.hpp"
+#include "plumfold_response_writer.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -29,17 +29,17 @@
     return json(text).dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-json usageJson(const answer_end& end)
+json usageJson(const completion_summary& summary)
 {
     return json {
-        { "prompt_tokens", end.promptTokens },
-        { "completion_tokens", end.outputTokens },
-        { "total_tokens", end.promptTokens + end.outputTokens },
-        { "prompt_tokens_details", { { "cached_tokens", end.cachedTokens } } },
+        { "prompt_tokens", summary.promptTokens },
+        { "completion_tokens", summary.outputTokens },
+        { "total_tokens", summary.promptTokens + summary.outputTokens },
+        { "prompt_tokens_details", { { "cached_tokens", summary.cachedTokens } } },
     };
 }
 
-void sendWhole(HTTPResponse& head, Poco::Net::HTTPServerResponse& response, const std::string& body)
+void sendBody(HTTPResponse& head, Poco::Net::HTTPServerResponse& response, const std::string& body)
 {
     head.setContentLength64(static_cast<Poco::Int64>(body.size()));
     response.send() << body;
@@ -56,18 +56,18 @@
     if (error.retryAfter)
         response.set("Retry-After",
             std::to_string(std::chrono::ceil<std::chrono::seconds>(*error.retryAfter).count()));
-    sendWhole(response, response, errorJson(error).dump());
+    sendBody(response, response, errorJson(error).dump());
 }
 
-void sendStored(Poco::Net::HTTPServerResponse& response, const core::stored_response& answer)
+void sendStoredResponse(Poco::Net::HTTPServerResponse& response, const core::stored_response& stored)
 {
-    response.setStatus(static_cast<HTTPResponse::HTTPStatus>(answer.status));
-    response.setContentType(answer.contentType);
+    response.setStatus(static_cast<HTTPResponse::HTTPStatus>(stored.status));
+    response.setContentType(stored.contentType);
     response.set("X-Plumfold-Replayed", "true");
-    sendWhole(response, response, answer.body);
+    sendBody(response, response, stored.body);
 }
 
-answer_writer::answer_writer(
+response_writer::response_writer(
     Poco::Net::HTTPServerResponse& response, const completion_request& request, std::string requestId)
     : m_response(response)
     , m_request(request)
@@ -75,13 +75,13 @@
 {
 }
 
-void answer_writer::setFailureDomain(const std::string& name)
+void response_writer::setFailureDomain(const std::string& name)
 {
     if (!started())
         m_response.set("X-Plumfold-Failure-Domain", name);
 }
 
-void answer_writer::start()
+void response_writer::startStream()
 {
     m_response.setContentType("text/event-stream");
     m_response.set("Cache-Control", "no-cache");
@@ -89,7 +89,7 @@
     m_out = &m_response.send();
 }
 
-std::string answer_writer::chunk(const std::string& text, const std::string* finishReason) const
+std::string response_writer::chunk(const std::string& text, const std::string* finishReason) const
 {
     std::string out = "data: {\"id\":\"" + m_requestId + "\",\"object\":\"";
     out += m_request.chat ? "chat.completion.chunk" : "text_completion";
@@ -102,27 +102,27 @@
     return out;
 }
 
-bool answer_writer::token(const std::string& text)
+bool response_writer::writeToken(const std::string& text)
 {
     m_text += text;
     if (!m_request.stream)
         return true;
     if (!started())
-        start();
+        startStream();
     *m_out << chunk(text, nullptr) << "}\n\n";
     return m_out->good();
 }
 
-bool answer_writer::flush()
+bool response_writer::flush()
 {
     if (m_out)
         m_out->flush();
     return !m_out || m_out->good();
 }
 
-std::string answer_writer::whole(const answer_end& end) const
+std::string response_writer::completionJson(const completion_summary& summary) const
 {
-    json choice { { "index", 0 }, { "finish_reason", end.finishReason } };
+    json choice { { "index", 0 }, { "finish_reason", summary.finishReason } };
     if (m_request.chat)
         choice["message"] = { { "role", "assistant" }, { "content", m_text } };
     else
@@ -132,16 +132,16 @@
         { "object", m_request.chat ? "chat.completion" : "text_completion" },
         { "model", m_request.model },
         { "choices", json::array({ std::move(choice) }) },
-        { "usage", usageJson(end) },
+        { "usage", usageJson(summary) },
     };
     return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-bool answer_writer::end(const answer_end& end)
+bool response_writer::finish(const completion_summary& summary)
 {
     if (!m_request.stream) {
         m_response.setContentType("application/json");
-        std::string body = whole(end);
+        std::string body = completionJson(summary);
         m_response.setContentLength64(static_cast<Poco::Int64>(body.size()));
         std::ostream& out = m_response.send();
         out << body;
@@ -149,29 +149,29 @@
         return out.good();
     }
     if (!started())
-        start();
-    *m_out << chunk("", &end.finishReason) << ",\"usage\":" << usageJson(end).dump()
+        startStream();
+    *m_out << chunk("", &summary.finishReason) << ",\"usage\":" << usageJson(summary).dump()
            << "}\n\ndata: [DONE]\n\n";
     m_out->flush();
     return m_out->good();
 }
 
-void answer_writer::replay(const core::stored_response& answer)
+void response_writer::replay(const core::stored_response& stored)
 {
-    json whole = json::parse(answer.body, nullptr, false);
+    json whole = json::parse(stored.body, nullptr, false);
     if (!m_request.stream || !whole.is_object()) {
-        sendStored(m_response, answer);
+        sendStoredResponse(m_response, stored);
         return;
     }
     m_response.set("X-Plumfold-Replayed", "true");
     const auto& choice = whole.at("choices").at(0);
-    token(m_request.chat ? choice.at("message").at("content") : choice.at("text"));
+    writeToken(m_request.chat ? choice.at("message").at("content") : choice.at("text"));
     const auto& usage = whole.at("usage");
-    end({ choice.at("finish_reason"), usage.at("prompt_tokens"),
+    finish({ choice.at("finish_reason"), usage.at("prompt_tokens"),
         usage.at("prompt_tokens_details").at("cached_tokens"), usage.at("completion_tokens") });
 }
 
-void answer_writer::fail(const core::error_info& error)
+void response_writer::writeError(const core::error_info& error)
 {
     if (!started()) {
         sendError(m_response, error);
@@ -181,17 +181,17 @@
     m_out->flush();
 }
 
-core::stored_response answer_writer::stored(const answer_end& end) const
+core::stored_response response_writer::toStoredResponse(const completion_summary& summary) const
 {
-    core::stored_response answer;
-    answer.status = HTTPResponse::HTTP_OK;
-    answer.contentType = "application/json";
-    answer.body = whole(end);
-    if (answer.body.size() > maxStoredBytes) {
-        answer.truncated = true;
-        answer.body.clear();
+    core::stored_response stored;
+    stored.status = HTTPResponse::HTTP_OK;
+    stored.contentType = "application/json";
+    stored.body = completionJson(summary);
+    if (stored.body.size() > maxStoredBytes) {
+        stored.truncated = true;
+        stored.body.clear();
     }
-    return answer;
+    return stored;
 }
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_answer_writer.hpp
+++ b/packages/entry/src/plumfold_response_writer.hpp
@@ -13,7 +13,7 @@
 namespace plumfold::entry {
 
 /// The end of a whole answer.
-struct answer_end {
+struct completion_summary {
     std::string finishReason;
     std::uint32_t promptTokens = 0;
     std::uint32_t cachedTokens = 0;
@@ -21,34 +21,34 @@
 };
 
 /// Writes an answer in the shape that the caller asked for: one JSON object, or server-sent events.
-class answer_writer {
+class response_writer {
 public:
-    answer_writer(
+    response_writer(
         Poco::Net::HTTPServerResponse& response, const completion_request& request, std::string requestId);
 
     /// Names the failure domain that serves the answer; only before the first token.
     void setFailureDomain(const std::string& name);
 
     /// @return false when the caller has gone.
-    bool token(const std::string& text);
+    bool writeToken(const std::string& text);
     /// Sends what has been written so far to the caller.
     bool flush();
-    bool end(const answer_end& end);
+    bool finish(const completion_summary& summary);
     /// Sends the stored answer of an earlier run in the shape that this call asked for.
-    void replay(const core::stored_response& answer);
+    void replay(const core::stored_response& stored);
     /// Ends the answer with an error; in the middle of a stream as an event of its own.
-    void fail(const core::error_info& error);
+    void writeError(const core::error_info& error);
 
     bool started() const { return m_out != nullptr; }
     const std::string& text() const { return m_text; }
 
     /// @return the whole answer in the shape of a call without stream, for resends.
-    core::stored_response stored(const answer_end& end) const;
+    core::stored_response toStoredResponse(const completion_summary& summary) const;
 
 private:
-    void start();
+    void startStream();
     std::string chunk(const std::string& text, const std::string* finishReason) const;
-    std::string whole(const answer_end& end) const;
+    std::string completionJson(const completion_summary& summary) const;
 
     Poco::Net::HTTPServerResponse& m_response;
     const completion_request& m_request;
@@ -61,6 +61,6 @@
 void sendError(Poco::Net::HTTPServerResponse& response, const core::error_info& error);
 
 /// Sends a stored answer as the whole answer.
-void sendStored(Poco::Net::HTTPServerResponse& response, const core::stored_response& answer);
+void sendStoredResponse(Poco::Net::HTTPServerResponse& response, const core::stored_response& stored);
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_service_flow.cpp
+++ b/packages/entry/src/plumfold_service_flow.cpp
@@ -1,6 +1,6 @@
 #include "plumfold_service_flow.hpp"
 
-#include "plumfold_answer_writer.hpp"
+#include "plumfold_response_writer.hpp"
 
 #include "plumfold/runtime/plumfold_clock.hpp"
 
@@ -14,7 +14,7 @@
 
 constexpr std::size_t maxAnswerBytes = 1 << 20;
 constexpr std::size_t maxStoredBytes = 64 << 10;
-constexpr std::uint32_t serviceCallCost = 64; // in tokens, for fair queueing
+constexpr std::uint32_t serviceCallCostTokens = 64; // in tokens, for fair queueing
 
 bool isSafeMethod(const std::string& method)
 {
@@ -36,13 +36,13 @@
 
 void service_flow::run()
 {
-    if (!m_idempotent && !takeClaim())
+    if (!m_idempotent && !acquireClaim())
         return;
-    m_spec.number = m_flow.context.duty.nextRequest();
+    m_spec.number = m_flow.context.dispatchThread.nextRequest();
     m_spec.customer = m_flow.customer.name;
     m_spec.service = m_service.name;
     m_spec.fingerprint = m_flow.fingerprint;
-    m_spec.maxTokens = serviceCallCost;
+    m_spec.maxTokens = serviceCallCostTokens;
     m_spec.priority = m_flow.headers.priority;
     m_spec.deadline = m_flow.deadline;
     m_spec.idempotent = m_idempotent;
@@ -60,18 +60,18 @@
         report.outcome = result.outcome;
         report.duration = std::chrono::duration_cast<core::milliseconds>(runtime::now() - from);
         if (result.outcome == attempt_outcome::succeeded) {
-            m_flow.context.duty.post(finished_event { m_spec.number, report });
-            answer(*plan, result);
+            m_flow.context.dispatchThread.post(finished_event { m_spec.number, report });
+            sendResult(*plan, result);
             return;
         }
         if (result.outcome != attempt_outcome::not_reached && result.outcome != attempt_outcome::refused)
-            m_reachedTarget = true;
-        plan = m_flow.dispatchAgain(m_spec, report);
+            m_attemptMayHaveRun = true;
+        plan = m_flow.dispatchRetry(m_spec, report);
     }
     fail(plan.status());
 }
 
-bool service_flow::takeClaim()
+bool service_flow::acquireClaim()
 {
     if (m_flow.headers.idempotencyKey.empty()) {
         sendError(m_response,
@@ -82,15 +82,15 @@
     auto from = runtime::now();
     m_claim.emplace(m_flow.context, core::claim_key { m_flow.customer.name, m_flow.headers.idempotencyKey },
         m_flow.fingerprint, std::max(m_flow.headers.deadline, core::milliseconds(m_service.timeoutMs)));
-    auto taken = m_claim->take();
+    auto acquired = m_claim->acquire();
     m_flow.writeSpan("control", from, { { "call", "claim" } });
-    if (taken.ok() && !*taken)
+    if (acquired.ok() && !*acquired)
         return true;
-    m_flow.logEnd("service", taken.ok() ? "replayed" : "claim_refused", 0);
-    if (taken.ok())
-        sendStored(m_response, **taken);
+    m_flow.logEnd("service", acquired.ok() ? "replayed" : "claim_refused", 0);
+    if (acquired.ok())
+        sendStoredResponse(m_response, **acquired);
     else
-        sendError(m_response, core::errorInfoOf(taken.status()));
+        sendError(m_response, core::errorInfoOf(acquired.status()));
     return false;
 }
 
@@ -105,22 +105,22 @@
     call.idempotencyKey = m_flow.headers.idempotencyKey;
     call.customer = m_flow.customer.name;
     call.traceparent = m_flow.trace.child().toHeader();
-    auto left = std::chrono::duration_cast<core::milliseconds>(m_flow.deadline - runtime::now());
-    call.timeout = std::clamp(left, core::milliseconds(1), core::milliseconds(m_service.timeoutMs));
+    auto remaining = std::chrono::duration_cast<core::milliseconds>(m_flow.deadline - runtime::now());
+    call.timeout = std::clamp(remaining, core::milliseconds(1), core::milliseconds(m_service.timeoutMs));
     call.maxAnswerBytes = maxAnswerBytes;
     return call;
 }
 
-void service_flow::answer(const core::dispatch_plan& plan, const service_result& result)
+void service_flow::sendResult(const core::dispatch_plan& plan, const service_result& result)
 {
     core::stored_response stored { result.status, result.contentType, result.body, false };
     if (m_claim) {
-        core::stored_response kept = stored;
-        if (kept.body.size() > maxStoredBytes) {
-            kept.truncated = true;
-            kept.body.clear();
+        core::stored_response toStore = stored;
+        if (toStore.body.size() > maxStoredBytes) {
+            toStore.truncated = true;
+            toStore.body.clear();
         }
-        m_claim->completed(kept);
+        m_claim->reportCompleted(toStore);
     }
     m_response.setStatus(static_cast<Poco::Net::HTTPResponse::HTTPStatus>(stored.status));
     m_response.setContentType(stored.contentType);
@@ -134,19 +134,19 @@
 void service_flow::fail(const absl::Status& status)
 {
     if (m_claim) {
-        if (m_reachedTarget)
-            m_claim->unknown();
+        if (m_attemptMayHaveRun)
+            m_claim->reportUnknown();
         else
-            m_claim->notRun();
+            m_claim->reportNotRun();
     }
-    if (m_reachedTarget)
+    if (m_attemptMayHaveRun)
         recordUsage(true);
     if (absl::IsCancelled(status)) {
         m_flow.logEnd("service", "caller_left", m_attempts);
         return;
     }
     core::error_info error = core::errorInfoOf(status);
-    if (m_reachedTarget && error.ran == core::run_state::not_run)
+    if (m_attemptMayHaveRun && error.ran == core::run_state::not_run)
         error.ran = core::run_state::unknown;
     sendError(m_response, error);
     m_flow.logEnd("service", core::errorKindName(error.kind), m_attempts);
--- a/packages/entry/src/plumfold_service_flow.hpp
+++ b/packages/entry/src/plumfold_service_flow.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "plumfold_claim_guard.hpp"
+#include "plumfold_request_claim.hpp"
 #include "plumfold_request_flow.hpp"
 
 #include "plumfold/core/plumfold_records.hpp"
@@ -22,9 +22,9 @@
     void run();
 
 private:
-    bool takeClaim();
+    bool acquireClaim();
     service_call makeCall();
-    void answer(const core::dispatch_plan& plan, const service_result& result);
+    void sendResult(const core::dispatch_plan& plan, const service_result& result);
     void fail(const absl::Status& status);
     void recordUsage(bool failed);
 
@@ -34,10 +34,10 @@
     std::string m_body;
     Poco::Net::HTTPServerResponse& m_response;
     bool m_idempotent;
-    bool m_reachedTarget = false;
+    bool m_attemptMayHaveRun = false;
     int m_attempts = 0;
     core::request_spec m_spec;
-    std::optional<claim_guard> m_claim;
+    std::optional<request_claim> m_claim;
 };
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_usage_reporter.cpp
+++ b/packages/entry/src/plumfold_usage_reporter.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-constexpr core::milliseconds shipInterval { 1000 };
-constexpr core::milliseconds shipTimeout { 2000 };
+constexpr core::milliseconds batchInterval { 1000 };
+constexpr core::milliseconds batchTimeout { 2000 };
 
 } // namespace
 
@@ -27,14 +27,14 @@
     }
     m_wake.notify_all();
     m_thread.join();
-    if (ship())
-        ship(); // the first call may have shipped an older batch
+    if (sendBatch())
+        sendBatch(); // the first call may have shipped an older batch
 }
 
 void usage_reporter::add(const core::usage_row& row)
 {
     std::lock_guard lock(m_mutex);
-    auto& sum = m_open[{ row.customer, row.model }];
+    auto& sum = m_pendingRows[{ row.customer, row.model }];
     sum.customer = row.customer;
     sum.model = row.model;
     sum += row;
@@ -44,25 +44,25 @@
 {
     std::unique_lock lock(m_mutex);
     while (!m_stopping) {
-        m_wake.wait_for(lock, shipInterval, [this] { return m_stopping; });
+        m_wake.wait_for(lock, batchInterval, [this] { return m_stopping; });
         lock.unlock();
-        ship();
+        sendBatch();
         lock.lock();
     }
 }
 
-bool usage_reporter::ship()
+bool usage_reporter::sendBatch()
 {
     if (m_batch.rows.empty()) {
         std::lock_guard lock(m_mutex);
-        if (m_open.empty())
+        if (m_pendingRows.empty())
             return false;
-        for (const auto& [key, row] : m_open)
+        for (const auto& [key, row] : m_pendingRows)
             m_batch.rows.push_back(row);
-        m_open.clear();
+        m_pendingRows.clear();
         m_batch.sequence += 1;
     }
-    if (!m_control.submit(core::command { 0, m_batch }, shipTimeout).ok())
+    if (!m_control.submit(core::command { 0, m_batch }, batchTimeout).ok())
         return false;
     m_batch.rows.clear();
     return true;
--- a/packages/entry/src/plumfold_usage_reporter.hpp
+++ b/packages/entry/src/plumfold_usage_reporter.hpp
@@ -24,7 +24,7 @@
 
 private:
     void run();
-    bool ship();
+    bool sendBatch();
 
     control_client& m_control;
     std::string m_source;
@@ -32,7 +32,7 @@
     std::mutex m_mutex;
     std::condition_variable m_wake;
     bool m_stopping = false;
-    std::map<std::pair<std::string, std::string>, core::usage_row> m_open; // by customer and model
+    std::map<std::pair<std::string, std::string>, core::usage_row> m_pendingRows; // by customer and model
     core::usage_command m_batch; // sent again until control has it
     std::thread m_thread;
 };
--- a/tests/process/plumfold_answers_tests.cpp
+++ b/tests/process/plumfold_answers_tests.cpp
@@ -54,10 +54,10 @@
     {
         fault(busy, { { "cut_after", 1 } });
     }
-    auto whole = answer.get();
-    CHECK(whole.ok());
-    CHECK(whole.tokens == tokens);
-    CHECK(whole.text == fakes::fakeAnswer(prompt, "v1", tokens));
+    auto received = answer.get();
+    CHECK(received.ok());
+    CHECK(received.tokens == tokens);
+    CHECK(received.text == fakes::fakeAnswer(prompt, "v1", tokens));
 }
 
 TEST_CASE_METHOD(two_domains, "Callers get their own answers, streamed or not", "[answers]")
@@ -134,8 +134,8 @@
 {
     std::string longPrompt(8192, 'p');
     REQUIRE(complete(1, longPrompt).ok());
-    auto again = complete(1, longPrompt);
-    CHECK(again.cachedTokens > 0);
+    auto second = complete(1, longPrompt);
+    CHECK(second.cachedTokens > 0);
     auto other = complete(1, longPrompt, 8, true, {}, otherKey);
     CHECK(other.ok());
     CHECK(other.cachedTokens == 0);
@@ -160,7 +160,7 @@
 {
     std::string longPrompt(8192, 'v');
     REQUIRE(complete(1, longPrompt).text == fakes::fakeAnswer(longPrompt, "v1", 8));
-    auto underWay = std::async(std::launch::async, [&] { return complete(1, prompt, 400); });
+    auto inProgress = std::async(std::launch::async, [&] { return complete(1, prompt, 400); });
     std::string busy = busyEngine();
     std::string idle = busy == "e1" ? "e2" : "e1";
     fault(idle, { { "version", "v2" } });
@@ -169,7 +169,7 @@
     CHECK(eventually([&] { return complete(1, longPrompt).ok(); }));
     auto fresh = complete(1, longPrompt);
     CHECK(fresh.text == fakes::fakeAnswer(longPrompt, "v2", 8));
-    CHECK(underWay.get().text == fakes::fakeAnswer(prompt, "v1", 400));
+    CHECK(inProgress.get().text == fakes::fakeAnswer(prompt, "v1", 400));
 }
 
 TEST_CASE_METHOD(
--- a/tests/process/plumfold_at_most_once_tests.cpp
+++ b/tests/process/plumfold_at_most_once_tests.cpp
@@ -38,7 +38,7 @@
         return count;
     }
 
-    void faultBoth(const nlohmann::json& faults)
+    void setFaultsOnBoth(const nlohmann::json& faults)
     {
         for (const char* name : { "s1", "s2" })
             fault(name, faults);
@@ -52,10 +52,10 @@
     auto first = order(1, "k1", R"({"pallets":2})");
     REQUIRE(first.status == 200);
     for (int entry : { 1, 2 }) {
-        auto resent = order(entry, "k1", R"({"pallets":2})");
-        CHECK(resent.status == 200);
-        CHECK(resent.body == first.body);
-        CHECK(resent.headers["X-Plumfold-Replayed"] == "true");
+        auto retried = order(entry, "k1", R"({"pallets":2})");
+        CHECK(retried.status == 200);
+        CHECK(retried.body == first.body);
+        CHECK(retried.headers["X-Plumfold-Replayed"] == "true");
     }
     CHECK(executions("k1") == 1);
     CHECK(order(2, "k1", R"({"pallets":3})").errorType == "idempotency_conflict");
@@ -64,7 +64,7 @@
 
 TEST_CASE_METHOD(order_system, "Orders that race through both entries run once", "[at-most-once]")
 {
-    faultBoth({ { "delay_ms", 300 } });
+    setFaultsOnBoth({ { "delay_ms", 300 } });
     std::vector<std::future<client::call_answer>> answers;
     for (int index = 0; index < 8; ++index)
         answers.push_back(
@@ -86,16 +86,16 @@
 {
     SECTION("the connection broke")
     {
-        faultBoth({ { "drop_answer", true } });
+        setFaultsOnBoth({ { "drop_answer", true } });
     }
     SECTION("the service died after it had run")
     {
-        faultBoth({ { "die_after_run", true } });
+        setFaultsOnBoth({ { "die_after_run", true } });
     }
     auto lost = order(1, "k2");
     CHECK(lost.errorType == "outcome_unknown");
     CHECK(lost.errorRan == "unknown");
-    faultBoth({});
+    setFaultsOnBoth({});
     for (int entry : { 1, 2 })
         CHECK(order(entry, "k2").errorType == "outcome_unknown");
     CHECK(executions("k2") == 1);
@@ -115,7 +115,7 @@
         auto refused = order(1, "free", "{}", { { "X-Plumfold-Deadline-Ms", "1500" } });
         CHECK(refused.errorRan == "not_run");
         CHECK(executions("free") == 0);
-        faultBoth({});
+        setFaultsOnBoth({});
         CHECK(eventually([&] { return order(2, "free").status == 200; }));
         CHECK(executions("free") == 1);
     }
@@ -124,14 +124,14 @@
 TEST_CASE_METHOD(
     order_system, "An entry that dies with an order under way leaves it at one run", "[at-most-once][kill]")
 {
-    faultBoth({ { "delay_ms", 500 } });
-    auto cut = std::async(std::launch::async, [&] {
+    setFaultsOnBoth({ { "delay_ms", 500 } });
+    auto interrupted = std::async(std::launch::async, [&] {
         return order(1, "k3", "{}", { { "X-Plumfold-Deadline-Ms", "3000" } });
     });
     std::this_thread::sleep_for(std::chrono::milliseconds(250));
     process("entry-1").kill();
-    CHECK(cut.get().status != 200);
-    faultBoth({});
+    CHECK(interrupted.get().status != 200);
+    setFaultsOnBoth({});
     // First it is in progress for all that anyone knows; once the holder must have stopped, unknown.
     auto early = order(2, "k3", "{}", { { "X-Plumfold-Deadline-Ms", "3000" } });
     CHECK((early.errorType == "claim_in_progress" || early.errorType == "outcome_unknown"));
@@ -148,7 +148,7 @@
 {
     std::vector<std::string> keys;
     int served = 0;
-    auto sendSome = [&](int count) {
+    auto placeOrders = [&](int count) {
         for (int index = 0; index < count; ++index) {
             std::string key = "c" + std::to_string(keys.size());
             keys.push_back(key);
@@ -160,29 +160,29 @@
             }
         }
     };
-    sendSome(5);
-    std::string leading = "control-" + std::to_string(leader());
+    placeOrders(5);
+    std::string leaderName = "control-" + std::to_string(leader());
     SECTION("the leader is killed and comes back")
     {
-        process(leading).kill();
-        sendSome(10);
-        startControlVm(leading.back() - '0');
+        process(leaderName).kill();
+        placeOrders(10);
+        startControlVm(leaderName.back() - '0');
     }
     SECTION("the leader stands still for longer than every lease, then goes on")
     {
-        process(leading).pause();
-        sendSome(10);
-        process(leading).resume();
+        process(leaderName).pause();
+        placeOrders(10);
+        process(leaderName).resume();
     }
     SECTION("a follower loses its disk")
     {
-        std::string other = leading == "control-1" ? "control-2" : "control-1";
-        process(other).kill();
-        removeFolder(other);
-        startControlVm(other.back() - '0');
-        sendSome(10);
+        std::string followerName = leaderName == "control-1" ? "control-2" : "control-1";
+        process(followerName).kill();
+        removeFolder(followerName);
+        startControlVm(followerName.back() - '0');
+        placeOrders(10);
     }
-    sendSome(5);
+    placeOrders(5);
     CHECK(served == static_cast<int>(keys.size()));
     for (const auto& key : keys)
         CHECK(executions(key) == 1);
@@ -204,8 +204,8 @@
     // The claim may have been taken although its answer was lost; then the outcome counts as unknown, never
     // as a second run. Usually it is freed and the order runs.
     eventually([&] {
-        auto again = order(2, "q1");
-        return again.status == 200 || again.errorType == "outcome_unknown";
+        auto retried = order(2, "q1");
+        return retried.status == 200 || retried.errorType == "outcome_unknown";
     });
     CHECK(executions("q1") <= 1);
 }
