--- a/packages/entry/src/plumfold_caller_api.cpp
+++ b/packages/entry/src/plumfold_caller_api.cpp
@@ -62,14 +62,14 @@
                     { error_kind::bad_request, run_state::not_run, "no such path: see docs/callers.md",
                         std::nullopt });
         } catch (const Poco::Exception& error) {
-            // The caller's connection broke; there is nobody to answer.
+            // The caller's connection broke, so no response can be sent.
             runtime::log_event("caller_connection_broken").with("failure", error.displayText());
         }
     }
 
 private:
-    /// Answers without using the body. The rest of it is read and dropped, since closing a connection with
-    /// unread bytes would take the answer away from the caller.
+    /// Sends an error without using the body. Reads and discards the rest of the body first: closing a
+    /// connection with unread bytes resets it, and the caller could lose the response.
     static void reject(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response,
         const error_info& error)
     {
@@ -78,6 +78,7 @@
         sendError(response, error);
     }
 
+    /// @return whether the request was rejected because this entry is shutting down.
     bool rejectWhenStopping(Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
         if (!m_context.stopping)
@@ -88,7 +89,8 @@
         return true;
     }
 
-    /// Checks who calls and what the headers say.
+    /// Authenticates the caller and reads the headers.
+    /// @return the flow of the request, or the error for the caller.
     absl::StatusOr<request_flow> createFlow(Poco::Net::HTTPServerRequest& request)
     {
         auto snapshot = m_context.dispatchThread.snapshot();
@@ -110,6 +112,7 @@
         return flow;
     }
 
+    /// @return the body; null if it was rejected, and then the caller has its response.
     std::unique_ptr<std::string> readBody(
         Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
@@ -134,6 +137,7 @@
         return body;
     }
 
+    /// @return a hash of customer, method, path and body, which identifies the request.
     static std::uint64_t fingerprintOf(const request_flow& flow, const std::string& body)
     {
         std::uint64_t hash = core::hashBytes(flow.customer.name);
@@ -141,14 +145,14 @@
         return core::hashBytes(body, hash);
     }
 
-    /// A call whose sender is known and whose body has been read.
+    /// A call whose caller is authenticated and whose body has been read.
     struct received_call {
         request_flow flow;
         std::string body;
     };
 
-    /// Begins a call that runs work.
-    /// @return nothing when it was refused; the caller has its answer then.
+    /// Receives a call that is to run on a target.
+    /// @return the call; nothing if it was rejected, and then the caller has its response.
     std::optional<received_call> receiveCall(
         Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response)
     {
--- a/packages/entry/src/plumfold_caller_api.hpp
+++ b/packages/entry/src/plumfold_caller_api.hpp
@@ -6,13 +6,13 @@
 
 namespace plumfold::entry {
 
-/// The callers' API over HTTP: /v1/completions, /v1/chat/completions, /v1/models, /v1/services/{name}/...,
+/// HTTP API for callers: /v1/completions, /v1/chat/completions, /v1/models, /v1/services/{name}/...,
 /// /healthz, /readyz and /metrics.
 class caller_api {
 public:
     explicit caller_api(entry_context& context);
 
-    /// Stops accepting connections; open requests go on.
+    /// Stops accepting connections; open requests continue.
     void stopAccepting() { m_http.stopAccepting(); }
 
 private:
--- a/packages/entry/src/plumfold_caller_request.cpp
+++ b/packages/entry/src/plumfold_caller_request.cpp
@@ -119,7 +119,7 @@
     request.model = text("model");
     request.adapter = text("adapter");
     const auto* model = config.model(request.model);
-    // Another customer's model looks like one that does not exist.
+    // A model of another customer gets the same error as one that does not exist.
     if (!model || !mayCall(customer, request.model))
         return callerError(
             error_kind::unknown_model, "this model does not exist or is not open to you: ask an operator");
@@ -158,7 +158,7 @@
 {
     std::string header = request.get("Authorization", "");
     const core::customer_record* customer = nullptr;
-    // Keys are found by their hash, so the time taken says nothing about the key.
+    // Keys are looked up by their hash, so that the timing of the lookup reveals nothing about the key.
     if (header.starts_with(bearerPrefix))
         customer = config.customerByKeyHash(runtime::sha256Hex(header.substr(bearerPrefix.size())));
     if (!customer)
--- a/packages/entry/src/plumfold_caller_request.hpp
+++ b/packages/entry/src/plumfold_caller_request.hpp
@@ -13,42 +13,43 @@
 
 namespace plumfold::entry {
 
-/// What every call carries in its headers.
+/// Parsed headers of a call.
 struct caller_headers {
-    std::string idempotencyKey;
-    bool idempotent = true;
-    core::milliseconds deadline { 0 }; ///< For the whole answer, from now.
-    std::uint8_t priority = 1; ///< 0 goes first.
-    std::string traceparent;
+    std::string idempotencyKey; ///< Empty if the caller sends none.
+    bool idempotent = true; ///< Whether the request may run more than once.
+    core::milliseconds deadline { 0 }; ///< Time allowed for the complete response, from its arrival.
+    std::uint8_t priority = 1; ///< 0 to 2; 0 is the most urgent.
+    std::string traceparent; ///< W3C trace context.
 };
 
-/// A checked call for a completion.
+/// A validated completion request.
 struct completion_request {
     std::string model;
-    std::string adapter;
+    std::string adapter; ///< Empty for the model itself.
     std::string prompt;
     std::uint32_t maxTokens = 0;
     bool stream = false;
-    bool chat = false; ///< Asked through /v1/chat/completions.
+    bool chat = false; ///< Received through /v1/chat/completions.
 };
 
-/// Reads the headers that plumfold knows.
-/// @param defaultDeadline used when the caller names none.
-/// @return the headers, or the error for the caller.
+/// Parses the headers that plumfold defines, and traceparent.
+/// @param defaultDeadline used if the caller sets none.
+/// @return the headers, or bad_request.
 absl::StatusOr<caller_headers> readHeaders(
     const Poco::Net::HTTPServerRequest& request, core::milliseconds defaultDeadline);
 
-/// Reads and checks the body of a completion.
-/// @param chat whether it came through /v1/chat/completions.
+/// Parses and validates the body of a completion request.
+/// @param chat whether the request was received through /v1/chat/completions.
+/// @return the request, or the error for the caller.
 absl::StatusOr<completion_request> readCompletion(const std::string& body, bool chat,
     const core::customer_record& customer, const core::configuration& config);
 
-/// Finds the customer of a call by its bearer token.
+/// Authenticates a call by its bearer token.
 /// @return the customer, or unauthenticated.
 absl::StatusOr<core::customer_record> authenticate(
     const Poco::Net::HTTPServerRequest& request, const core::configuration& config);
 
-/// Makes a status for the caller.
+/// @return the error status of a request that did not run.
 absl::Status callerError(core::error_kind kind, std::string message);
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_request_claim.cpp
+++ b/packages/entry/src/plumfold_request_claim.cpp
@@ -33,8 +33,8 @@
     auto submitted = m_context.control.submit(core::command { 0, m_claim }, claimTimeout);
     const auto* result = submitted.ok() ? std::get_if<core::claim_result>(&*submitted) : nullptr;
     if (!result) {
-        // The claim may have been taken all the same. Nothing will be dispatched under it, so it is given
-        // back.
+        // The command may have been applied nevertheless. The request will not be dispatched, so the claim is
+        // released.
         reportNotRun();
         return core::toStatus({ core::error_kind::control_unavailable, core::run_state::not_run,
             "no quorum of control VMs can be reached, so this request cannot be run at most once: come back "
@@ -86,8 +86,8 @@
 {
     core::command command { 0,
         core::finish_claim_command { m_claim.key, m_claim.holder, outcome, response } };
-    // Kept before the caller is answered, so that a resend after a lost answer finds it. A caller does not
-    // wait long for that: without a quorum the answer is worth more than its copy.
+    // Stored before the response is sent, so that a retry after a lost response finds it. The wait is short:
+    // without a quorum, delivering the response matters more than storing it.
     if (m_context.control.submit(command, finishTimeout).ok())
         return;
     runtime::log_event("claim_not_finished", runtime::log_level::warning).with("holder", m_claim.holder);
--- a/packages/entry/src/plumfold_request_claim.hpp
+++ b/packages/entry/src/plumfold_request_claim.hpp
@@ -9,21 +9,25 @@
 
 namespace plumfold::entry {
 
-/// The claim of one caller on a request that runs at most once. Taken before the first byte goes to a target.
+/// The claim of one call on a request that runs at most once. Acquired before the first byte is sent to a
+/// target.
 class request_claim {
 public:
-    /// @param maxRunTime how long the caller will wait for the target.
+    /// @param fingerprint hash of the request; a key that was used with another one is a conflict.
+    /// @param maxRunTime how long this entry will wait for the target.
     request_claim(entry_context& context, core::claim_key key, std::uint64_t fingerprint,
         core::milliseconds maxRunTime);
 
-    /// Takes the claim.
-    /// @return nothing when it was granted; the stored answer of an earlier run; or the error for the caller.
+    /// Acquires the claim.
+    /// @return nothing if it was granted; the stored response of an earlier run; or the error for the caller.
     absl::StatusOr<std::optional<core::stored_response>> acquire();
 
-    /// Nothing was sent to a target, or the target itself said that it did not run: the key is free again.
+    /// Reports that nothing was sent to a target, or that the target itself reported that it did not run the
+    /// request. Releases the key without waiting.
     void reportNotRun();
-    /// The answer is kept for resends.
+    /// Stores the response, which is replayed to retries.
     void reportCompleted(const core::stored_response& response);
+    /// Reports that the request may have run and that its outcome is not known.
     void reportUnknown();
 
 private:
