--- a/packages/entry/src/plumfold_completion_flow.cpp
+++ b/packages/entry/src/plumfold_completion_flow.cpp
@@ -11,7 +11,8 @@
 using core::attempt_outcome;
 using core::milliseconds;
 
-// A run whose first token is this many times later than predicted is given up, but not before the floor.
+// An attempt is abandoned if its first token takes this many times as long as predicted, but not before the
+// minimum timeout.
 constexpr int firstTokenTimeoutFactor = 10;
 constexpr milliseconds minFirstTokenTimeout { 3000 };
 constexpr milliseconds tokenTimeout { 2000 };
@@ -27,7 +28,7 @@
 
 } // namespace
 
-/// Passes tokens from a target to the caller.
+/// Relays tokens from a target to the caller, across attempts in order and without duplicates.
 class completion_flow::relay final : public token_sink {
 public:
     explicit relay(completion_flow& owner)
@@ -55,7 +56,7 @@
     bool onPause() override
     {
         m_isDisconnected = !m_completion.m_writer.flush();
-        // Asking the socket costs as much as a token, so it is not asked each time.
+        // Polling the socket costs as much as relaying a token, so it is not done on each pause.
         if (runtime::now() >= m_nextDisconnectCheck) {
             m_nextDisconnectCheck = runtime::now() + disconnectCheckInterval;
             m_isDisconnected = m_isDisconnected || m_completion.m_flow.isCallerDisconnected();
@@ -63,6 +64,7 @@
         return !m_isDisconnected && !m_completion.m_flow.context.aborting;
     }
 
+    /// @return whether the attempt was stopped because a token was missing.
     bool gap() const { return m_gap; }
 
 private:
@@ -98,7 +100,7 @@
             finish(*plan, result, report);
             break;
         }
-        // A run that has begun goes on with its own weight version.
+        // Once tokens were delivered, later attempts have to use the same weight version.
         if (report.answerStarted)
             m_spec.version = plan->version;
         if (result.outcome != attempt_outcome::not_reached && result.outcome != attempt_outcome::refused)
@@ -183,7 +185,8 @@
     call.firstTokenTimeout
         = std::max(minFirstTokenTimeout, firstTokenTimeoutFactor * plan.expectedFirstToken);
     call.tokenTimeout = tokenTimeout;
-    // Blocks of the version that was in force at the start must not meet a run on another version.
+    // The KV blocks belong to the weight version that was current when the request started; an attempt on
+    // another version must not use them.
     bool sameVersion = plan.version == m_chainOwner.version;
     if (sameVersion)
         call.chain = m_spec.chain;
@@ -245,7 +248,7 @@
 void completion_flow::finish(
     const core::dispatch_plan& plan, const completion_result& result, const core::attempt_report& report)
 {
-    // The permit goes back first: the place on the target is free whatever the caller does.
+    // Release the permit first, so that a slow caller does not occupy a slot of the target.
     m_flow.context.dispatchThread.post(finished_event { m_spec.number, report });
     completion_summary summary { result.finishReason, result.promptTokens, result.cachedTokens,
         m_assembly.next() };
@@ -289,7 +292,7 @@
     core::error_info error = core::errorInfoOf(status);
     if (mayHaveRun && error.ran == core::run_state::not_run)
         error.ran = core::run_state::unknown;
-    // A caller that sends it again through another entry must not find one that does not know yet.
+    // Shared before the response is sent, so that a retry through another entry is rejected there as well.
     if (error.kind == core::error_kind::crashes_targets && m_attempts > 0)
         m_flow.context.mesh.shareSuspect({ m_flow.fingerprint, core::crashesToCondemn });
     m_writer.writeError(error);
@@ -309,8 +312,6 @@
     m_flow.context.usage.add(row);
 }
 
-// The answer is out; the caller's thread now lets the engine copy the new blocks to the store in the
-// background.
 void completion_flow::exportToStore(const core::dispatch_plan& plan)
 {
     auto& context = m_flow.context;
--- a/packages/entry/src/plumfold_entry_context.hpp
+++ b/packages/entry/src/plumfold_entry_context.hpp
@@ -15,7 +15,7 @@
 
 namespace plumfold::entry {
 
-/// What the threads of callers share.
+/// State shared by the threads that serve callers.
 struct entry_context {
     const runtime::settings& settings;
     std::uint64_t incarnation;
@@ -27,10 +27,10 @@
     usage_reporter& usage;
     runtime::metrics& metrics;
     runtime::trace_writer& traces;
-    std::atomic<bool> stopping { false }; ///< New requests are refused.
-    std::atomic<bool> aborting { false }; ///< The grace period is over: open requests end with an error.
+    std::atomic<bool> stopping { false }; ///< New requests are rejected.
+    std::atomic<bool> aborting { false }; ///< The grace period has expired: open requests end with an error.
     std::atomic<int> openRequests { 0 };
-    std::atomic<std::uint64_t> activeExports { 0 };
+    std::atomic<std::uint64_t> activeExports { 0 }; ///< Threads that are starting an export of KV blocks.
 };
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_request_flow.cpp
+++ b/packages/entry/src/plumfold_request_flow.cpp
@@ -32,7 +32,7 @@
     try {
         if (!socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
             return false;
-        return socket.available() == 0; // readable without bytes: closed
+        return socket.available() == 0; // readable without data: closed
     } catch (const Poco::Exception&) {
         return true;
     }
--- a/packages/entry/src/plumfold_request_flow.hpp
+++ b/packages/entry/src/plumfold_request_flow.hpp
@@ -9,7 +9,7 @@
 
 namespace plumfold::entry {
 
-/// What the flows of completions and of service calls share about one caller's request.
+/// One request of a caller; common to completions and service calls.
 struct request_flow {
     entry_context& context;
     Poco::Net::HTTPServerRequest& caller;
@@ -19,33 +19,38 @@
     core::instant arrivedAt {};
     core::instant deadline {};
     runtime::trace_context trace;
-    std::uint64_t fingerprint = 0;
+    std::uint64_t fingerprint = 0; ///< Hash that identifies the request.
 
+    /// Polls the socket without waiting.
     /// @return whether the caller has closed its connection.
     bool isCallerDisconnected();
 
-    /// Submits a request and waits for the verdict.
-    /// @return the plan to run it by; the error of a refusal; cancelled when the caller left.
+    /// Submits a request and waits until it is dispatched or rejected.
+    /// @return the plan for the attempt; the error if the request was rejected or the grace period of a
+    /// shutdown expired; cancelled if the caller disconnected.
     absl::StatusOr<core::dispatch_plan> dispatch(const core::request_spec& spec);
 
-    /// Reports a failed attempt and waits for the verdict on the next one.
+    /// Reports a failed attempt and waits until the request is dispatched again or rejected.
+    /// @param next the remaining request, with the same number.
+    /// @return as dispatch().
     absl::StatusOr<core::dispatch_plan> dispatchRetry(
         const core::request_spec& next, const core::attempt_report& report);
 
-    /// Writes a span below the request's own.
+    /// Writes a child span of the request's span, from the given time until now.
     void writeSpan(
         const std::string& name, core::instant from, std::map<std::string, std::string> attributes);
 
+    /// Logs the end of the request and counts it by kind and outcome.
     void logEnd(const std::string& kind, const std::string& outcome, int attempts);
 
 private:
     absl::StatusOr<core::dispatch_plan> awaitDispatch(core::request_number request, dispatch_ticket& ticket);
 };
 
-/// The process stops and its grace period is over.
+/// @return the error of a request that is still open when the grace period of a shutdown expires.
 absl::Status gracePeriodExpiredStatus(core::run_state ran);
 
-/// A request that nobody waits for any more.
+/// @return a cancelled status, for a request whose caller disconnected.
 absl::Status callerDisconnectedStatus();
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_service_flow.cpp
+++ b/packages/entry/src/plumfold_service_flow.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t maxAnswerBytes = 1 << 20;
 constexpr std::size_t maxStoredBytes = 64 << 10;
-constexpr std::uint32_t serviceCallCostTokens = 64; // in tokens, for fair queueing
+constexpr std::uint32_t serviceCallCostTokens = 64; // for fair queueing
 
 bool isSafeMethod(const std::string& method)
 {
--- a/packages/entry/src/plumfold_usage_reporter.cpp
+++ b/packages/entry/src/plumfold_usage_reporter.cpp
@@ -28,7 +28,7 @@
     m_wake.notify_all();
     m_thread.join();
     if (sendBatch())
-        sendBatch(); // the first call may have shipped an older batch
+        sendBatch(); // the first call may have sent an older batch
 }
 
 void usage_reporter::add(const core::usage_row& row)
--- a/packages/entry/src/plumfold_usage_reporter.hpp
+++ b/packages/entry/src/plumfold_usage_reporter.hpp
@@ -10,20 +10,24 @@
 
 namespace plumfold::entry {
 
-/// Gathers the usage of finished requests and ships it to control in numbered batches. Each request is
-/// counted in exactly one batch and control counts a batch once, so nothing is counted twice. What has not
-/// been shipped when the process dies is lost: at most one interval.
+/// Collects the usage of finished requests and sends it to control in numbered batches. Each request is in
+/// exactly one batch and control counts a batch once, so nothing is counted twice. If the process crashes,
+/// unsent usage is lost: at most that of one interval while control is available.
 class usage_reporter {
 public:
+    /// @param source name of this entry.
     usage_reporter(control_client& control, std::string source, std::uint64_t incarnation);
 
-    /// Ships what is left.
+    /// Sends the remaining usage.
     ~usage_reporter();
 
+    /// Adds the usage of a request. Thread-safe.
     void add(const core::usage_row& row);
 
 private:
     void run();
+    /// Sends the unconfirmed batch, or else a new one.
+    /// @return whether control has applied a batch.
     bool sendBatch();
 
     control_client& m_control;
@@ -33,7 +37,7 @@
     std::condition_variable m_wake;
     bool m_stopping = false;
     std::map<std::pair<std::string, std::string>, core::usage_row> m_pendingRows; // by customer and model
-    core::usage_command m_batch; // sent again until control has it
+    core::usage_command m_batch; // sent until control confirms it
     std::thread m_thread;
 };
 
