--- a/tests/process/plumfold_answers_tests.cpp
+++ b/tests/process/plumfold_answers_tests.cpp
@@ -14,10 +14,11 @@
 
 const std::string prompt = "summarise the gully at Vesturgata 12 ";
 
-/// Two entries with an engine each.
+/// Two failure domains, each with an entry and an engine.
 class two_domains : public tests::two_domain_system {
 public:
-    /// @return the engine that runs something now.
+    /// Waits until an engine has a running request.
+    /// @return the name of that engine; empty if none has one in time.
     std::string busyEngine()
     {
         std::string busy;
@@ -34,23 +35,23 @@
 
 } // namespace
 
-TEST_CASE_METHOD(
-    two_domains, "A caller gets the whole answer although its target fails in the middle", "[answers]")
+TEST_CASE_METHOD(two_domains,
+    "A caller receives the complete response although the target fails during the stream", "[answers]")
 {
     constexpr std::uint32_t tokens = 200;
     auto answer = std::async(std::launch::async, [&] { return complete(1, prompt, tokens); });
     std::string busy = busyEngine();
     REQUIRE_FALSE(busy.empty());
-    std::this_thread::sleep_for(std::chrono::milliseconds(100)); // some tokens are on their way
-    SECTION("killed")
+    std::this_thread::sleep_for(std::chrono::milliseconds(100)); // some tokens were delivered
+    SECTION("the target is killed")
     {
         process(busy).kill();
     }
-    SECTION("standing still")
+    SECTION("the target is paused")
     {
         process(busy).pause();
     }
-    SECTION("cutting the stream")
+    SECTION("the target truncates the stream")
     {
         fault(busy, { { "cut_after", 1 } });
     }
@@ -60,7 +61,7 @@
     CHECK(received.text == fakes::fakeAnswer(prompt, "v1", tokens));
 }
 
-TEST_CASE_METHOD(two_domains, "Callers get their own answers, streamed or not", "[answers]")
+TEST_CASE_METHOD(two_domains, "Concurrent callers receive their own responses, streamed or not", "[answers]")
 {
     std::vector<std::future<client::call_answer>> answers;
     for (int index = 0; index < 24; ++index) {
@@ -77,7 +78,7 @@
 }
 
 TEST_CASE_METHOD(
-    two_domains, "Each token reaches the caller before the next one is made", "[answers][stream]")
+    two_domains, "Each token reaches the caller before the next one is generated", "[answers][stream]")
 {
     startEngine("slow", 1, { "--token-us", "300000" });
     process("e1").kill();
@@ -86,11 +87,12 @@
     REQUIRE(eventually([&] { return complete(1, prompt, 1).ok(); }));
     auto answer = complete(1, prompt, 4);
     REQUIRE(answer.ok());
-    // The whole answer takes 4 intervals of 300 ms; the first token must not wait for any.
+    // The complete response takes 4 intervals of 300 ms; the first token must not wait for any of them.
     CHECK(answer.firstToken < answer.total / 2);
 }
 
-TEST_CASE_METHOD(two_domains, "Cancellation reaches the target when the caller leaves", "[answers][cancel]")
+TEST_CASE_METHOD(
+    two_domains, "When the caller disconnects, the request is cancelled on the target", "[answers][cancel]")
 {
     client::call_request request;
     request.address = callerAddress(1);
@@ -110,7 +112,8 @@
         std::any_of(lines.begin(), lines.end(), [](const auto& line) { return line.starts_with("cancel"); }));
 }
 
-TEST_CASE_METHOD(two_domains, "A refusal that says not run is true", "[answers][truth]")
+TEST_CASE_METHOD(
+    two_domains, "A rejection reports not_run only if the request did not run", "[answers][truth]")
 {
     for (const char* name : { "e1", "e2" })
         fault(name, { { "refuse", true } });
@@ -120,7 +123,7 @@
     CHECK(refused.headers.contains("Retry-After"));
     CHECK(logOf("e1").empty());
     CHECK(logOf("e2").empty());
-    SECTION("and one after a run that was lost does not say so")
+    SECTION("an error after a lost attempt does not report not_run")
     {
         for (const char* name : { "e1", "e2" })
             fault(name, { { "cut_after", 1 } });
@@ -130,7 +133,7 @@
     }
 }
 
-TEST_CASE_METHOD(two_domains, "Customers never see each other", "[answers][isolation]")
+TEST_CASE_METHOD(two_domains, "Customers share no cached tokens, services or usage", "[answers][isolation]")
 {
     std::string longPrompt(8192, 'p');
     REQUIRE(complete(1, longPrompt).ok());
@@ -156,7 +159,7 @@
 }
 
 TEST_CASE_METHOD(
-    two_domains, "A new request never uses blocks or weights of another version", "[answers][version]")
+    two_domains, "A new request never uses KV blocks or weights of another version", "[answers][version]")
 {
     std::string longPrompt(8192, 'v');
     REQUIRE(complete(1, longPrompt).text == fakes::fakeAnswer(longPrompt, "v1", 8));
@@ -172,8 +175,9 @@
     CHECK(inProgress.get().text == fakes::fakeAnswer(prompt, "v1", 400));
 }
 
-TEST_CASE_METHOD(
-    two_domains, "Bad input is answered clearly, runs nowhere and harms nobody", "[answers][input]")
+TEST_CASE_METHOD(two_domains,
+    "Invalid requests are rejected with a 4xx status, never run and do not affect other requests",
+    "[answers][input]")
 {
     auto post = [&](const std::string& body, std::map<std::string, std::string> headers = {}) {
         client::call_request request;
@@ -204,7 +208,7 @@
 }
 
 TEST_CASE_METHOD(two_domains,
-    "A request that crashes targets ends after two, also when it is sent again elsewhere",
+    "A poison request crashes two targets at most, also when it is retried through another entry",
     "[answers][suspects]")
 {
     startEngine("e3", 1);
--- a/tests/process/plumfold_at_most_once_tests.cpp
+++ b/tests/process/plumfold_at_most_once_tests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Two entries in front of two order services.
+/// Two entries and two targets of the orders service, one of each per failure domain.
 class order_system : public test_system {
 public:
     order_system()
@@ -27,7 +27,7 @@
         }
     }
 
-    /// @return how often the services executed a key.
+    /// @return how many times the targets executed the order with this idempotency key.
     long executions(const std::string& key)
     {
         long count = 0;
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(order_system, "A resent order gets its first answer through any entry", "[at-most-once]")
+TEST_CASE_METHOD(order_system, "A retried order gets the stored response through any entry", "[at-most-once]")
 {
     auto first = order(1, "k1", R"({"pallets":2})");
     REQUIRE(first.status == 200);
@@ -62,7 +62,8 @@
     CHECK(order(2, "").errorType == "idempotency_key_missing");
 }
 
-TEST_CASE_METHOD(order_system, "Orders that race through both entries run once", "[at-most-once]")
+TEST_CASE_METHOD(
+    order_system, "Concurrent orders with one key through both entries run once", "[at-most-once]")
 {
     setFaultsOnBoth({ { "delay_ms", 300 } });
     std::vector<std::future<client::call_answer>> answers;
@@ -82,13 +83,13 @@
     CHECK(executions("race") == 1);
 }
 
-TEST_CASE_METHOD(order_system, "An order whose answer was lost is never run again", "[at-most-once]")
+TEST_CASE_METHOD(order_system, "An order whose response was lost never runs a second time", "[at-most-once]")
 {
-    SECTION("the connection broke")
+    SECTION("the connection breaks")
     {
         setFaultsOnBoth({ { "drop_answer", true } });
     }
-    SECTION("the service died after it had run")
+    SECTION("the target crashes after it has executed the order")
     {
         setFaultsOnBoth({ { "die_after_run", true } });
     }
@@ -101,7 +102,7 @@
     CHECK(executions("k2") == 1);
 }
 
-TEST_CASE_METHOD(order_system, "An order that a service refused runs elsewhere, once", "[at-most-once]")
+TEST_CASE_METHOD(order_system, "An order that one target rejects runs once on another", "[at-most-once]")
 {
     fault("s1", { { "refuse", true } });
     for (int index = 0; index < 6; ++index) {
@@ -109,7 +110,7 @@
         CHECK(order(1, key).status == 200);
         CHECK(executions(key) == 1);
     }
-    SECTION("and when all refuse, the key is free again")
+    SECTION("if all targets reject it, the key is released")
     {
         fault("s2", { { "refuse", true } });
         auto refused = order(1, "free", "{}", { { "X-Plumfold-Deadline-Ms", "1500" } });
@@ -122,7 +123,7 @@
 }
 
 TEST_CASE_METHOD(
-    order_system, "An entry that dies with an order under way leaves it at one run", "[at-most-once][kill]")
+    order_system, "An order in progress runs at most once when its entry is killed", "[at-most-once][kill]")
 {
     setFaultsOnBoth({ { "delay_ms", 500 } });
     auto interrupted = std::async(std::launch::async, [&] {
@@ -132,7 +133,7 @@
     process("entry-1").kill();
     CHECK(interrupted.get().status != 200);
     setFaultsOnBoth({});
-    // First it is in progress for all that anyone knows; once the holder must have stopped, unknown.
+    // The claim is in progress until its holder must have stopped waiting; then its outcome is unknown.
     auto early = order(2, "k3", "{}", { { "X-Plumfold-Deadline-Ms", "3000" } });
     CHECK((early.errorType == "claim_in_progress" || early.errorType == "outcome_unknown"));
     std::this_thread::sleep_for(std::chrono::milliseconds(600));
@@ -143,7 +144,7 @@
     CHECK(executions("k3") <= 1);
 }
 
-TEST_CASE_METHOD(order_system, "Orders run once while control VMs are killed, stopped and continued",
+TEST_CASE_METHOD(order_system, "Orders run once while control VMs are killed, paused and resumed",
     "[at-most-once][control][kill]")
 {
     std::vector<std::string> keys;
@@ -162,13 +163,13 @@
     };
     placeOrders(5);
     std::string leaderName = "control-" + std::to_string(leader());
-    SECTION("the leader is killed and comes back")
+    SECTION("the leader is killed and restarted")
     {
         process(leaderName).kill();
         placeOrders(10);
         startControlVm(leaderName.back() - '0');
     }
-    SECTION("the leader stands still for longer than every lease, then goes on")
+    SECTION("the leader is paused for longer than every lease, then resumed")
     {
         process(leaderName).pause();
         placeOrders(10);
@@ -189,7 +190,7 @@
 }
 
 TEST_CASE_METHOD(
-    order_system, "Without a quorum an order is refused at once and not run", "[at-most-once][cut]")
+    order_system, "Without a quorum an order is rejected immediately and does not run", "[at-most-once][cut]")
 {
     process("control-2").pause();
     process("control-3").pause();
@@ -201,8 +202,8 @@
     CHECK(executions("q1") == 0);
     for (int number = 1; number <= 3; ++number)
         process("control-" + std::to_string(number)).resume();
-    // The claim may have been taken although its answer was lost; then the outcome counts as unknown, never
-    // as a second run. Usually it is freed and the order runs.
+    // The claim may have been granted although its result was lost. Its outcome is then unknown, and the
+    // order does not run. Usually the claim is released and the order runs.
     eventually([&] {
         auto retried = order(2, "q1");
         return retried.status == 200 || retried.errorType == "outcome_unknown";
