--- a/packages/entry/src/plumfold_caller_request.cpp
+++ b/packages/entry/src/plumfold_caller_request.cpp
@@ -15,7 +15,7 @@
 using core::error_kind;
 using json = nlohmann::json;
 
-constexpr std::size_t maxKeyBytes = 256;
+constexpr std::size_t maxIdempotencyKeyBytes = 256;
 constexpr std::uint64_t maxDeadlineMs = 3'600'000;
 constexpr std::uint8_t lowestPriority = 2;
 constexpr std::uint32_t defaultMaxTokens = 256;
@@ -81,7 +81,7 @@
     headers.idempotencyKey = request.get("Idempotency-Key", "");
     headers.traceparent = request.get("traceparent", "");
     headers.deadline = defaultDeadline;
-    if (headers.idempotencyKey.size() > maxKeyBytes)
+    if (headers.idempotencyKey.size() > maxIdempotencyKeyBytes)
         return callerError(error_kind::bad_request, "Idempotency-Key may have at most 256 bytes");
     std::string idempotent = request.get("X-Plumfold-Idempotent", "true");
     if (idempotent != "true" && idempotent != "false")
@@ -119,7 +119,7 @@
     request.model = text("model");
     request.adapter = text("adapter");
     const auto* model = config.model(request.model);
-    // Another customer's model looks like one that does not exist.
+    // A model of another customer gets the same error as one that does not exist.
     if (!model || !mayCall(customer, request.model))
         return callerError(
             error_kind::unknown_model, "this model does not exist or is not open to you: ask an operator");
@@ -158,7 +158,7 @@
 {
     std::string header = request.get("Authorization", "");
     const core::customer_record* customer = nullptr;
-    // Keys are found by their hash, so the time taken says nothing about the key.
+    // Keys are looked up by their hash, so that the timing of the lookup reveals nothing about the key.
     if (header.starts_with(bearerPrefix))
         customer = config.customerByKeyHash(runtime::sha256Hex(header.substr(bearerPrefix.size())));
     if (!customer)
