--- a/packages/entry/include/plumfold/entry/plumfold_http_target_adapter.hpp
+++ b/packages/entry/include/plumfold/entry/plumfold_http_target_adapter.hpp
@@ -25,14 +25,14 @@
     void cancel(const std::string& address, const std::string& requestId) override;
     bool exportBlocks(const std::string& address, const export_call& call) override;
     bool loadVersion(const target_process& target, const load_call& call) override;
-    process_state stateOf(const target_process& target) override;
+    process_state probeProcess(const target_process& target) override;
 
 private:
     using session = std::unique_ptr<Poco::Net::HTTPClientSession>;
 
     session connect(const target_process& target);
-    session takeIdle(const target_process& target);
-    void keep(const target_process& target, session idle);
+    session popIdleConnection(const target_process& target);
+    void returnIdleConnection(const target_process& target, session idle);
 
     std::mutex m_mutex;
     std::map<target_process, std::vector<session>> m_idle;
--- a/packages/entry/include/plumfold/entry/plumfold_target_adapter.hpp
+++ b/packages/entry/include/plumfold/entry/plumfold_target_adapter.hpp
@@ -72,7 +72,7 @@
     std::string customer;
     std::string traceparent;
     core::milliseconds timeout { 0 };
-    std::size_t maxAnswerBytes = 0;
+    std::size_t maxResponseBytes = 0;
 };
 
 struct service_result {
@@ -129,7 +129,7 @@
     virtual bool loadVersion(const target_process& target, const load_call& call) = 0;
 
     /// Finds out what became of a target's process after a run was lost.
-    virtual process_state stateOf(const target_process& target) = 0;
+    virtual process_state probeProcess(const target_process& target) = 0;
 };
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_completion_flow.cpp
+++ b/packages/entry/src/plumfold_completion_flow.cpp
@@ -213,7 +213,7 @@
     m_flow.writeSpan("target", from,
         { { "target", plan.target }, { "outcome", std::to_string(static_cast<int>(result.outcome)) } });
     if (result.outcome == attempt_outcome::lost) {
-        auto state = m_flow.context.targets.stateOf({ plan.address, plan.incarnation });
+        auto state = m_flow.context.targets.probeProcess({ plan.address, plan.incarnation });
         if (state == process_state::ended)
             result.outcome = attempt_outcome::crashed;
         else
@@ -294,7 +294,7 @@
         error.ran = core::run_state::unknown;
     // Shared before the response is sent, so that a retry through another entry is rejected there as well.
     if (error.kind == core::error_kind::crashes_targets && m_attempts > 0)
-        m_flow.context.mesh.shareSuspect({ m_flow.fingerprint, core::crashesToCondemn });
+        m_flow.context.mesh.broadcastSuspect({ m_flow.fingerprint, core::crashesToCondemn });
     m_writer.writeError(error);
     m_flow.logEnd("completion", core::errorKindName(error.kind), m_attempts);
 }
--- a/packages/entry/src/plumfold_control_client.cpp
+++ b/packages/entry/src/plumfold_control_client.cpp
@@ -15,9 +15,9 @@
 constexpr std::chrono::milliseconds attemptTimeout { 1000 };
 constexpr auto retryPause = 50 * kj::MILLISECONDS;
 constexpr auto watchPause = 150 * kj::MILLISECONDS;
-// After so many failed tries to reach the leader, an entry that has just started takes what any control VM
+// After so many failed tries to reach the leader, an entry that has just started accepts what any control VM
 // knows.
-constexpr unsigned patienceForQuorum = 6;
+constexpr unsigned linearizableWatchAttempts = 6;
 
 kj::Duration toKj(core::milliseconds time)
 {
@@ -26,10 +26,10 @@
 
 } // namespace
 
-control_client::control_client(wire::rpc_thread& rpc, control_client_options options, listener onNews)
+control_client::control_client(wire::rpc_thread& rpc, control_client_options options, listener onUpdate)
     : m_rpc(rpc)
     , m_options(std::move(options))
-    , m_onNews(std::move(onNews))
+    , m_onUpdate(std::move(onUpdate))
 {
     m_watchIndex = runtime::randomNumber() % m_options.addresses.size();
     m_leaderIndex = m_watchIndex;
@@ -104,22 +104,22 @@
         request.setKnownRevision(m_refetch ? UINT64_MAX : m_knownRevision);
         request.setKnownDigest(m_knownDigest);
         request.setWaitMs(watchMs);
-        request.setLinearizable(!m_everFresh && m_watchFailures < patienceForQuorum);
-        auto answer = wire::withTimeout(m_rpc, request.send().dropPipeline(), watchTimeout);
-        return answer.then([this](capnp::Response<wire::EntrySession::WatchResults> response) {
-            control_news news;
-            news.update = wire::read(response.getUpdate());
-            news.fresh = response.getFresh();
+        request.setLinearizable(!m_everFresh && m_watchFailures < linearizableWatchAttempts);
+        auto pending = wire::withTimeout(m_rpc, request.send().dropPipeline(), watchTimeout);
+        return pending.then([this](capnp::Response<wire::EntrySession::WatchResults> response) {
+            watch_update received;
+            received.update = wire::read(response.getUpdate());
+            received.fresh = response.getFresh();
             for (auto verdict : response.getVerdicts())
-                news.verdicts.push_back(wire::read(verdict));
+                received.verdicts.push_back(wire::read(verdict));
             m_refetch = false;
-            m_everFresh = m_everFresh || news.fresh;
-            bool stale = !news.fresh;
-            if (news.update.revision >= m_knownRevision) {
-                m_knownRevision = news.update.revision;
-                m_knownDigest = news.update.digest;
+            m_everFresh = m_everFresh || received.fresh;
+            bool stale = !received.fresh;
+            if (received.update.revision >= m_knownRevision) {
+                m_knownRevision = received.update.revision;
+                m_knownDigest = received.update.digest;
             }
-            m_onNews(std::move(news));
+            m_onUpdate(std::move(received));
             // A control VM without a quorum learns nothing new; another one may be better off.
             KJ_REQUIRE(!stale, "the control VM is cut off from the quorum");
             m_watchFailures = 0;
@@ -132,7 +132,7 @@
     m_rpc.post([this] { m_refetch = true; });
 }
 
-void control_client::setKnown(std::uint64_t revision, std::uint64_t digest)
+void control_client::advanceKnownRevision(std::uint64_t revision, std::uint64_t digest)
 {
     m_rpc.post([this, revision, digest] {
         if (revision < m_knownRevision)
@@ -145,13 +145,13 @@
 // ---------------------------------------------------------------- commands
 
 kj::Promise<core::command_result> control_client::submitOnce(
-    const core::command& what, const std::string& address)
+    const core::command& command, const std::string& address)
 {
-    return sessionAt(address).then([this, what, address](wire::EntrySession::Client session) {
+    return sessionAt(address).then([this, command, address](wire::EntrySession::Client session) {
         auto request = session.submitRequest();
-        wire::write(request.initCommand(), what);
-        auto answer = wire::withTimeout(m_rpc, request.send().dropPipeline(), attemptTimeout);
-        return answer.then(
+        wire::write(request.initCommand(), command);
+        auto pending = wire::withTimeout(m_rpc, request.send().dropPipeline(), attemptTimeout);
+        return pending.then(
             [this](capnp::Response<wire::EntrySession::SubmitResults> response)
                 -> kj::Promise<core::command_result> {
                 auto reply = response.getReply();
@@ -161,58 +161,58 @@
                 if (!leader.empty() && leader != m_leader)
                     m_leader = leader;
                 else
-                    nextLeaderGuess();
+                    advanceLeaderCandidate();
                 return kj::Exception(
                     kj::Exception::Type::DISCONNECTED, __FILE__, __LINE__, kj::str("not the leader"));
             },
             [this, address](kj::Exception&& exception) -> kj::Promise<core::command_result> {
                 drop(address);
-                nextLeaderGuess();
+                advanceLeaderCandidate();
                 return kj::mv(exception);
             });
     });
 }
 
-void control_client::nextLeaderGuess()
+void control_client::advanceLeaderCandidate()
 {
     m_leaderIndex = (m_leaderIndex + 1) % m_options.addresses.size();
     m_leader = m_options.addresses[m_leaderIndex];
 }
 
-kj::Promise<core::command_result> control_client::submitUntil(core::command what, kj::TimePoint deadline)
+kj::Promise<core::command_result> control_client::submitUntil(core::command command, kj::TimePoint deadline)
 {
     std::string address = m_leader;
-    return submitOnce(what, address)
-        .catch_(
-            [this, what, address, deadline](kj::Exception&& exception) -> kj::Promise<core::command_result> {
-                if (m_rpc.timer().now() + retryPause >= deadline)
-                    return kj::mv(exception);
-                if (m_leader == address)
-                    nextLeaderGuess();
-                return m_rpc.timer().afterDelay(retryPause).then([this, what, deadline] {
-                    return submitUntil(what, deadline);
-                });
+    return submitOnce(command, address)
+        .catch_([this, command, address, deadline](
+                    kj::Exception&& exception) -> kj::Promise<core::command_result> {
+            if (m_rpc.timer().now() + retryPause >= deadline)
+                return kj::mv(exception);
+            if (m_leader == address)
+                advanceLeaderCandidate();
+            return m_rpc.timer().afterDelay(retryPause).then([this, command, deadline] {
+                return submitUntil(command, deadline);
             });
+        });
 }
 
 absl::StatusOr<core::command_result> control_client::submit(
-    const core::command& what, core::milliseconds timeout)
+    const core::command& command, core::milliseconds timeout)
 {
     try {
         return m_rpc.run([&]() -> kj::Promise<core::command_result> {
             auto deadline = m_rpc.timer().now() + toKj(timeout);
-            return wire::withTimeout(m_rpc, submitUntil(what, deadline), timeout);
+            return wire::withTimeout(m_rpc, submitUntil(command, deadline), timeout);
         });
     } catch (const kj::Exception& exception) {
         return absl::UnavailableError(exception.getDescription().cStr());
     }
 }
 
-void control_client::submitLater(core::command what, core::milliseconds timeout)
+void control_client::submitAsync(core::command command, core::milliseconds timeout)
 {
-    m_rpc.post([this, what = std::move(what), timeout] {
+    m_rpc.post([this, command = std::move(command), timeout] {
         auto deadline = m_rpc.timer().now() + toKj(timeout);
-        m_tasks->add(submitUntil(what, deadline).ignoreResult());
+        m_tasks->add(submitUntil(command, deadline).ignoreResult());
     });
 }
 
--- a/packages/entry/src/plumfold_control_client.hpp
+++ b/packages/entry/src/plumfold_control_client.hpp
@@ -24,7 +24,7 @@
 };
 
 /// News from a control VM.
-struct control_news {
+struct watch_update {
     core::configuration_update update;
     bool fresh = false; ///< Whether the control VM was in touch with a quorum.
     std::vector<core::verdict> verdicts;
@@ -34,25 +34,25 @@
 /// public calls may be made from any other thread.
 class control_client {
 public:
-    using listener = std::function<void(control_news)>;
+    using listener = std::function<void(watch_update)>;
 
-    control_client(wire::rpc_thread& rpc, control_client_options options, listener onNews);
+    control_client(wire::rpc_thread& rpc, control_client_options options, listener onUpdate);
     ~control_client();
 
     /// Sends a command to the leader and waits for its result. Commands are idempotent, so one may be sent
     /// again after an answer was lost.
     /// @return unavailable when no quorum answered within the timeout; the command may be applied all the
     /// same.
-    absl::StatusOr<core::command_result> submit(const core::command& what, core::milliseconds timeout);
+    absl::StatusOr<core::command_result> submit(const core::command& command, core::milliseconds timeout);
 
     /// Sends a command without waiting, trying again until it was applied or time is up.
-    void submitLater(core::command what, core::milliseconds timeout);
+    void submitAsync(core::command command, core::milliseconds timeout);
 
     /// Makes the next watch fetch the whole configuration.
     void refetch();
 
-    /// Tells what is known, so that watches return only what is newer.
-    void setKnown(std::uint64_t revision, std::uint64_t digest);
+    /// Sets what is known, so that watches return only what is newer.
+    void advanceKnownRevision(std::uint64_t revision, std::uint64_t digest);
 
 private:
     struct link {
@@ -63,14 +63,14 @@
     kj::Promise<wire::EntrySession::Client> sessionAt(const std::string& address);
     kj::Promise<void> watchLoop();
     kj::Promise<void> watchOnce();
-    kj::Promise<core::command_result> submitUntil(core::command what, kj::TimePoint deadline);
-    kj::Promise<core::command_result> submitOnce(const core::command& what, const std::string& address);
+    kj::Promise<core::command_result> submitUntil(core::command command, kj::TimePoint deadline);
+    kj::Promise<core::command_result> submitOnce(const core::command& command, const std::string& address);
     void drop(const std::string& address);
-    void nextLeaderGuess();
+    void advanceLeaderCandidate();
 
     wire::rpc_thread& m_rpc;
     control_client_options m_options;
-    listener m_onNews;
+    listener m_onUpdate;
     std::map<std::string, link> m_links;
     std::size_t m_watchIndex = 0;
     std::string m_leader;
--- a/packages/entry/src/plumfold_dispatch_duty.cpp
+++ b/packages/entry/src/plumfold_dispatch_thread.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_dispatch_duty.hpp"
+#include "plumfold_dispatch_thread.hpp"
 
 #include "plumfold/runtime/plumfold_clock.hpp"
 #include "plumfold/runtime/plumfold_log.hpp"
@@ -14,23 +14,23 @@
 
 } // namespace
 
-void dispatch_ticket::set(dispatch_verdict verdict)
+void dispatch_ticket::set(dispatch_result result)
 {
     {
         std::lock_guard lock(m_mutex);
-        m_verdict = std::move(verdict);
+        m_result = std::move(result);
     }
     m_changed.notify_one();
 }
 
-std::optional<dispatch_verdict> dispatch_ticket::wait(core::milliseconds timeout)
+std::optional<dispatch_result> dispatch_ticket::wait(core::milliseconds timeout)
 {
     std::unique_lock lock(m_mutex);
-    m_changed.wait_for(lock, timeout, [this] { return m_verdict.has_value(); });
-    return std::exchange(m_verdict, std::nullopt);
+    m_changed.wait_for(lock, timeout, [this] { return m_result.has_value(); });
+    return std::exchange(m_result, std::nullopt);
 }
 
-dispatch_duty::dispatch_duty(
+dispatch_thread::dispatch_thread(
     core::dispatch_options options, dispatch_outputs outputs, runtime::metrics& metrics)
     : m_dispatcher(std::move(options))
     , m_outputs(std::move(outputs))
@@ -40,17 +40,17 @@
     m_snapshot.config = std::make_shared<const core::configuration>();
 }
 
-dispatch_duty::~dispatch_duty()
+dispatch_thread::~dispatch_thread()
 {
     stop();
 }
 
-void dispatch_duty::start()
+void dispatch_thread::start()
 {
     m_thread = std::thread([this] { run(); });
 }
 
-void dispatch_duty::stop()
+void dispatch_thread::stop()
 {
     m_stopping = true;
     m_ring.close();
@@ -58,20 +58,20 @@
         m_thread.join();
 }
 
-void dispatch_duty::post(dispatch_event event)
+void dispatch_thread::post(dispatch_event event)
 {
     // A finished request that is not reported would hold its permit until the lease ends.
     while (!m_stopping && !m_ring.tryPush(event))
         std::this_thread::sleep_for(fullRingPause);
 }
 
-dispatch_snapshot dispatch_duty::snapshot() const
+dispatch_snapshot dispatch_thread::snapshot() const
 {
     std::lock_guard lock(m_snapshotMutex);
     return m_snapshot;
 }
 
-void dispatch_duty::run()
+void dispatch_thread::run()
 {
     auto nextTick = runtime::now();
     auto nextPublish = runtime::now();
@@ -91,7 +91,7 @@
     }
 }
 
-void dispatch_duty::publish(bool configurationChanged)
+void dispatch_thread::publish(bool configurationChanged)
 {
     std::shared_ptr<const core::configuration> config;
     if (configurationChanged)
@@ -117,31 +117,31 @@
 
 // ---------------------------------------------------------------- events
 
-core::dispatcher::actions dispatch_duty::handle(leaving_event&)
+core::dispatcher::actions dispatch_thread::handle(leaving_event&)
 {
     m_dispatcher.setLeaving();
     return {};
 }
 
-core::dispatcher::actions dispatch_duty::handle(submit_event& event)
+core::dispatcher::actions dispatch_thread::handle(submit_event& event)
 {
     m_tickets[event.spec.number] = std::move(event.ticket);
     return m_dispatcher.submit(event.spec, runtime::now());
 }
 
-core::dispatcher::actions dispatch_duty::handle(finished_event& event)
+core::dispatcher::actions dispatch_thread::handle(finished_event& event)
 {
     return m_dispatcher.onFinished(event.request, event.report, runtime::now());
 }
 
-core::dispatcher::actions dispatch_duty::handle(retry_event& event)
+core::dispatcher::actions dispatch_thread::handle(retry_event& event)
 {
     m_metrics.count("plumfold_retries_total");
     m_tickets[event.next.number] = std::move(event.ticket);
     return m_dispatcher.retry(event.next, event.report, runtime::now());
 }
 
-core::dispatcher::actions dispatch_duty::handle(cancel_event& event)
+core::dispatcher::actions dispatch_thread::handle(cancel_event& event)
 {
     m_tickets.erase(event.request);
     auto actions = m_dispatcher.cancel(event.request, runtime::now());
@@ -153,18 +153,18 @@
     return actions;
 }
 
-core::dispatcher::actions dispatch_duty::handle(report_event& event)
+core::dispatcher::actions dispatch_thread::handle(report_event& event)
 {
     return m_dispatcher.onReport(event.report, event.sentAt, runtime::now());
 }
 
-core::dispatcher::actions dispatch_duty::handle(cache_event& event)
+core::dispatcher::actions dispatch_thread::handle(cache_event& event)
 {
     m_dispatcher.onCacheEvents(event.events);
     return {};
 }
 
-core::dispatcher::actions dispatch_duty::handle(configuration_event& event)
+core::dispatcher::actions dispatch_thread::handle(configuration_event& event)
 {
     bool fits = true;
     std::uint64_t before = m_dispatcher.view().config().revision();
@@ -184,7 +184,7 @@
     return actions;
 }
 
-core::dispatcher::actions dispatch_duty::handle(verdicts_event& event)
+core::dispatcher::actions dispatch_thread::handle(verdicts_event& event)
 {
     std::set<std::uint64_t> present;
     for (const auto& each : event.verdicts) {
@@ -199,7 +199,7 @@
     return {};
 }
 
-core::dispatcher::actions dispatch_duty::handle(peer_event& event)
+core::dispatcher::actions dispatch_thread::handle(peer_event& event)
 {
     m_dispatcher.onPeerState(event.peer);
     for (const auto& each : event.suspects)
@@ -207,37 +207,37 @@
     return {};
 }
 
-core::dispatcher::actions dispatch_duty::handle(suspect_event& event)
+core::dispatcher::actions dispatch_thread::handle(suspect_event& event)
 {
     m_dispatcher.onSuspect(event.suspect, runtime::now());
     return {};
 }
 
-core::dispatcher::actions dispatch_duty::handle(permit_answer_event& event)
+core::dispatcher::actions dispatch_thread::handle(permit_answer_event& event)
 {
     if (!event.answer)
         return m_dispatcher.onOwnerUnreachable(event.request, runtime::now());
     return m_dispatcher.onPermitAnswer(event.request, event.owner, *event.answer, runtime::now());
 }
 
-core::dispatcher::actions dispatch_duty::handle(permit_asked_event& event)
+core::dispatcher::actions dispatch_thread::handle(permit_request_event& event)
 {
-    event.answer(m_dispatcher.acquireForPeer(event.ask, runtime::now()));
+    event.respond(m_dispatcher.acquireForPeer(event.request, runtime::now()));
     return {};
 }
 
-core::dispatcher::actions dispatch_duty::handle(permit_released_event& event)
+core::dispatcher::actions dispatch_thread::handle(permit_released_event& event)
 {
     return m_dispatcher.releaseForPeer(event.permit, event.measure, runtime::now());
 }
 
-core::dispatcher::actions dispatch_duty::handle(permits_renewed_event& event)
+core::dispatcher::actions dispatch_thread::handle(permits_renewed_event& event)
 {
     m_dispatcher.renewForPeer(event.holder, event.permits, runtime::now());
     return {};
 }
 
-core::dispatcher::actions dispatch_duty::handle(transfer_event& event)
+core::dispatcher::actions dispatch_thread::handle(transfer_event& event)
 {
     m_dispatcher.onTransferReserved(event.bytes, runtime::now());
     return {};
@@ -245,30 +245,30 @@
 
 // ---------------------------------------------------------------- actions
 
-void dispatch_duty::perform(const core::dispatcher::actions& actions)
+void dispatch_thread::perform(const core::dispatcher::actions& actions)
 {
     for (const auto& action : actions)
         std::visit([&](const auto& each) { perform(each); }, action);
 }
 
-void dispatch_duty::perform(const core::start_action& action)
+void dispatch_thread::perform(const core::start_action& action)
 {
-    tell(action.request, action.plan);
+    deliverResult(action.request, action.plan);
 }
 
-void dispatch_duty::perform(const core::refuse_action& action)
+void dispatch_thread::perform(const core::refuse_action& action)
 {
     m_metrics.count(
         std::string("plumfold_refusals_total{kind=\"") + core::errorKindName(action.error.kind) + "\"}");
-    tell(action.request, action.error);
+    deliverResult(action.request, action.error);
 }
 
-void dispatch_duty::tell(core::request_number request, dispatch_verdict verdict)
+void dispatch_thread::deliverResult(core::request_number request, dispatch_result result)
 {
     auto found = m_tickets.find(request);
     if (found == m_tickets.end())
         return;
-    found->second->set(std::move(verdict));
+    found->second->set(std::move(result));
     m_tickets.erase(found);
 }
 
--- a/packages/entry/src/plumfold_dispatch_duty.hpp
+++ b/packages/entry/src/plumfold_dispatch_thread.hpp
@@ -16,20 +16,20 @@
 namespace plumfold::entry {
 
 /// What a waiting request was told: where it runs, or why it does not.
-using dispatch_verdict = std::variant<core::dispatch_plan, core::error_info>;
+using dispatch_result = std::variant<core::dispatch_plan, core::error_info>;
 
 /// Joins a caller's thread that waits for a verdict and the dispatch duty that gives it. Shared because
 /// either side may be done first.
 class dispatch_ticket {
 public:
-    void set(dispatch_verdict verdict);
+    void set(dispatch_result result);
     /// @return the verdict, or nothing when none came within the timeout.
-    std::optional<dispatch_verdict> wait(core::milliseconds timeout);
+    std::optional<dispatch_result> wait(core::milliseconds timeout);
 
 private:
     std::mutex m_mutex;
     std::condition_variable m_changed;
-    std::optional<dispatch_verdict> m_verdict;
+    std::optional<dispatch_result> m_result;
 };
 
 struct submit_event {
@@ -74,9 +74,9 @@
     std::string owner;
     std::optional<core::permit_answer> answer; ///< Empty when the owner could not be asked.
 };
-struct permit_asked_event {
-    core::permit_request ask;
-    std::function<void(core::permit_answer)> answer; ///< Called on the dispatch duty.
+struct permit_request_event {
+    core::permit_request request;
+    std::function<void(core::permit_answer)> respond; ///< Called on the dispatch duty.
 };
 struct permit_released_event {
     core::permit_id permit;
@@ -93,11 +93,11 @@
 
 using dispatch_event = std::variant<leaving_event, submit_event, finished_event, retry_event, cancel_event,
     report_event, cache_event, configuration_event, verdicts_event, peer_event, permit_answer_event,
-    permit_asked_event, permit_released_event, permits_renewed_event, transfer_event, suspect_event>;
+    permit_request_event, permit_released_event, permits_renewed_event, transfer_event, suspect_event>;
 
 /// Where the dispatch duty hands on what it cannot do itself.
 struct dispatch_outputs {
-    std::function<void(const core::acquire_permit_action&)> ask;
+    std::function<void(const core::acquire_permit_action&)> requestPermit;
     std::function<void(const core::release_permit_action&)> release;
     std::function<void(const core::renew_permits_action&)> renew;
     std::function<void(const core::condemn_action&)> condemn;
@@ -120,10 +120,10 @@
 
 /// The dispatch duty: one thread that owns the dispatcher. Other threads hand it events through a bounded
 /// ring.
-class dispatch_duty {
+class dispatch_thread {
 public:
-    dispatch_duty(core::dispatch_options options, dispatch_outputs outputs, runtime::metrics& metrics);
-    ~dispatch_duty();
+    dispatch_thread(core::dispatch_options options, dispatch_outputs outputs, runtime::metrics& metrics);
+    ~dispatch_thread();
 
     /// Starts the thread. Until then events wait in the ring.
     void start();
@@ -154,7 +154,7 @@
     core::dispatcher::actions handle(peer_event& event);
     core::dispatcher::actions handle(suspect_event& event);
     core::dispatcher::actions handle(permit_answer_event& event);
-    core::dispatcher::actions handle(permit_asked_event& event);
+    core::dispatcher::actions handle(permit_request_event& event);
     core::dispatcher::actions handle(permit_released_event& event);
     core::dispatcher::actions handle(permits_renewed_event& event);
     core::dispatcher::actions handle(transfer_event& event);
@@ -162,11 +162,11 @@
     void perform(const core::dispatcher::actions& actions);
     void perform(const core::start_action& action);
     void perform(const core::refuse_action& action);
-    void perform(const core::acquire_permit_action& action) { m_outputs.ask(action); }
+    void perform(const core::acquire_permit_action& action) { m_outputs.requestPermit(action); }
     void perform(const core::release_permit_action& action) { m_outputs.release(action); }
     void perform(const core::renew_permits_action& action) { m_outputs.renew(action); }
     void perform(const core::condemn_action& action) { m_outputs.condemn(action); }
-    void tell(core::request_number request, dispatch_verdict verdict);
+    void deliverResult(core::request_number request, dispatch_result result);
     void publish(bool configurationChanged);
 
     core::dispatcher m_dispatcher;
--- a/packages/entry/src/plumfold_entry_context.hpp
+++ b/packages/entry/src/plumfold_entry_context.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "plumfold_control_client.hpp"
-#include "plumfold_dispatch_duty.hpp"
+#include "plumfold_dispatch_thread.hpp"
 #include "plumfold_peer_mesh.hpp"
 #include "plumfold_store_client.hpp"
 #include "plumfold_usage_reporter.hpp"
@@ -19,7 +19,7 @@
 struct entry_context {
     const runtime::settings& settings;
     std::uint64_t incarnation;
-    dispatch_duty& dispatchThread;
+    dispatch_thread& dispatchThread;
     peer_mesh& mesh;
     target_adapter& targets;
     control_client& control;
--- a/packages/entry/src/plumfold_entry_role.cpp
+++ b/packages/entry/src/plumfold_entry_role.cpp
@@ -2,9 +2,9 @@
 
 #include "plumfold_caller_api.hpp"
 #include "plumfold_entry_context.hpp"
-#include "plumfold_order_duty.hpp"
 #include "plumfold_peer_mesh.hpp"
 #include "plumfold_target_listener.hpp"
+#include "plumfold_weight_load_thread.hpp"
 
 #include "plumfold/entry/plumfold_http_target_adapter.hpp"
 #include "plumfold/runtime/plumfold_clock.hpp"
@@ -48,34 +48,37 @@
         : m_settings(settings)
         , m_incarnation(runtime::randomNumber() | 1)
         , m_traces(m_settings.process.traceFile, m_settings.process.name)
-        , m_duty(dispatchOptions(m_settings, m_incarnation), outputs(), m_metrics)
-        , m_mesh(rpc, m_settings, m_incarnation, m_duty)
-        , m_control(rpc, controlOptions(m_settings), [this](control_news news) { onNews(std::move(news)); })
+        , m_dispatchThread(dispatchOptions(m_settings, m_incarnation), outputs(), m_metrics)
+        , m_mesh(rpc, m_settings, m_incarnation, m_dispatchThread)
+        , m_control(rpc, controlOptions(m_settings),
+              [this](watch_update received) { onWatchUpdate(std::move(received)); })
         , m_stores(rpc, m_settings.entry->stores, m_settings.process.clusterSecret)
         , m_usage(m_control, m_settings.process.name, m_incarnation)
-        , m_context { m_settings, m_incarnation, m_duty, m_mesh, m_targets, m_control, m_stores, m_usage,
-            m_metrics, m_traces }
-        , m_targetListener(std::make_unique<target_listener>(m_settings.entry->targetAddress, m_duty, m_mesh))
+        , m_context { m_settings, m_incarnation, m_dispatchThread, m_mesh, m_targets, m_control, m_stores,
+            m_usage, m_metrics, m_traces }
+        , m_targetListener(
+              std::make_unique<target_listener>(m_settings.entry->targetAddress, m_dispatchThread, m_mesh))
         , m_callers(std::make_unique<caller_api>(m_context))
     {
-        m_duty.start();
-        m_orders = std::make_unique<order_duty>(m_context);
+        m_dispatchThread.start();
+        m_weightLoadThread = std::make_unique<weight_load_thread>(m_context);
     }
 
-    // First the threads that use the duty, then the duty, then what the duty uses.
+    // First the threads that use the dispatchThread, then the dispatchThread, then what the dispatchThread
+    // uses.
     ~impl()
     {
         m_context.aborting = true;
-        m_orders.reset();
+        m_weightLoadThread.reset();
         m_callers.reset();
         m_targetListener.reset();
-        m_duty.stop();
+        m_dispatchThread.stop();
     }
 
     void drain()
     {
         m_context.stopping = true;
-        m_duty.post(leaving_event {});
+        m_dispatchThread.post(leaving_event {});
         m_mesh.setLeaving();
         auto until = runtime::now() + core::milliseconds(m_settings.process.gracePeriodMs);
         while (m_context.openRequests > 0 && runtime::now() < until)
@@ -89,7 +92,8 @@
     dispatch_outputs outputs()
     {
         dispatch_outputs out;
-        out.ask = [this](const core::acquire_permit_action& action) { m_mesh.ask(action); };
+        out.requestPermit
+            = [this](const core::acquire_permit_action& action) { m_mesh.requestPermit(action); };
         out.release = [this](const core::release_permit_action& action) { m_mesh.release(action); };
         out.renew = [this](const core::renew_permits_action& action) { m_mesh.renew(action); };
         out.condemn = [this](const core::condemn_action& action) {
@@ -97,29 +101,29 @@
                 .with("fingerprint", action.fingerprint)
                 .with("crashes", action.crashes);
             core::verdict_command verdict { action.fingerprint, action.crashes, false };
-            m_control.submitLater(core::command { 0, verdict }, condemnTimeout);
+            m_control.submitAsync(core::command { 0, verdict }, condemnTimeout);
         };
         out.refetchConfiguration = [this] { m_control.refetch(); };
         return out;
     }
 
-    void onNews(control_news news)
+    void onWatchUpdate(watch_update received)
     {
-        m_duty.tryPost(configuration_event { std::move(news.update), news.fresh });
-        m_duty.tryPost(verdicts_event { std::move(news.verdicts) });
+        m_dispatchThread.tryPost(configuration_event { std::move(received.update), received.fresh });
+        m_dispatchThread.tryPost(verdicts_event { std::move(received.verdicts) });
     }
 
     runtime::settings m_settings;
     std::uint64_t m_incarnation;
     runtime::metrics m_metrics;
     runtime::trace_writer m_traces;
-    dispatch_duty m_duty;
+    dispatch_thread m_dispatchThread;
     peer_mesh m_mesh;
     control_client m_control;
     store_client m_stores;
     usage_reporter m_usage;
     http_target_adapter m_targets;
-    std::unique_ptr<order_duty> m_orders;
+    std::unique_ptr<weight_load_thread> m_weightLoadThread;
     entry_context m_context;
     std::unique_ptr<target_listener> m_targetListener;
     std::unique_ptr<caller_api> m_callers;
--- a/packages/entry/src/plumfold_http_target_adapter.cpp
+++ b/packages/entry/src/plumfold_http_target_adapter.cpp
@@ -20,7 +20,7 @@
 using core::milliseconds;
 
 constexpr milliseconds connectTimeout { 300 };
-constexpr milliseconds orderTimeout { 1000 };
+constexpr milliseconds shortRequestTimeout { 1000 };
 constexpr milliseconds probeTimeout { 200 };
 constexpr std::size_t maxIdlePerTarget = 32;
 constexpr std::size_t maxEventBytes = 1 << 20;
@@ -140,13 +140,13 @@
     runtime::setIoTimeout(socket, connectTimeout);
     auto session = std::make_unique<Poco::Net::HTTPClientSession>(socket);
     session->setKeepAlive(true);
-    Poco::Net::HTTPRequest question("GET", "/healthz", "HTTP/1.1");
-    question.setKeepAlive(true);
-    session->sendRequest(question);
+    Poco::Net::HTTPRequest healthRequest("GET", "/healthz", "HTTP/1.1");
+    healthRequest.setKeepAlive(true);
+    session->sendRequest(healthRequest);
     Poco::Net::HTTPResponse response;
     auto body = runtime::readBody(session->receiveResponse(response), maxEventBytes);
-    json answer = json::parse(body ? *body : "", nullptr, false);
-    bool same = answer.is_object() && answer.value("incarnation", std::uint64_t(0)) == target.incarnation;
+    json reply = json::parse(body ? *body : "", nullptr, false);
+    bool same = reply.is_object() && reply.value("incarnation", std::uint64_t(0)) == target.incarnation;
     if (!same)
         throw Poco::Net::ConnectionAbortedException("another process answers at the target's address");
     return session;
@@ -154,7 +154,7 @@
 
 } // namespace
 
-http_target_adapter::session http_target_adapter::takeIdle(const target_process& target)
+http_target_adapter::session http_target_adapter::popIdleConnection(const target_process& target)
 {
     std::lock_guard lock(m_mutex);
     auto& idle = m_idle[target];
@@ -170,11 +170,11 @@
 
 http_target_adapter::session http_target_adapter::connect(const target_process& target)
 {
-    session kept = takeIdle(target);
+    session kept = popIdleConnection(target);
     return kept ? std::move(kept) : openVerified(target);
 }
 
-void http_target_adapter::keep(const target_process& target, session idle)
+void http_target_adapter::returnIdleConnection(const target_process& target, session idle)
 {
     std::lock_guard lock(m_mutex);
     // Connections to earlier processes of the target are of no use any more.
@@ -205,8 +205,8 @@
         std::istream& in = used->receiveResponse(response);
         if (response.getStatus() != Poco::Net::HTTPResponse::HTTP_OK) {
             auto body = runtime::readBody(in, maxEventBytes);
-            json answer = json::parse(body ? *body : "", nullptr, false);
-            bool ran = !answer.is_object() || answer.value("ran", true);
+            json reply = json::parse(body ? *body : "", nullptr, false);
+            bool ran = !reply.is_object() || reply.value("ran", true);
             result.outcome = ran ? attempt_outcome::lost : attempt_outcome::refused;
             result.failure = "status " + std::to_string(response.getStatus());
             return result;
@@ -216,7 +216,7 @@
             std::string rest;
             while (std::getline(in, rest)) {
             } // up to the last chunk, so that the connection can be used again
-            keep(target, std::move(used));
+            returnIdleConnection(target, std::move(used));
         }
     } catch (const Poco::Exception& error) {
         result.failure = error.displayText();
@@ -248,7 +248,7 @@
             return result;
         Poco::Net::HTTPResponse response;
         std::istream& in = used->receiveResponse(response);
-        auto body = runtime::readBody(in, call.maxAnswerBytes);
+        auto body = runtime::readBody(in, call.maxResponseBytes);
         bool whole = body
             && (!response.hasContentLength()
                 || response.getContentLength64() == static_cast<Poco::Int64>(body->size()));
@@ -270,8 +270,8 @@
 namespace {
 
 /// Sends a short order to a target.
-/// @return the answer's body, or nothing when the order was not taken.
-std::unique_ptr<std::string> order(const std::string& address, const std::string& method,
+/// @return the reply's body, or nothing when the order was not taken.
+std::unique_ptr<std::string> sendShortRequest(const std::string& address, const std::string& method,
     const std::string& path, const std::string& body, milliseconds timeout)
 {
     try {
@@ -297,7 +297,8 @@
 
 void http_target_adapter::cancel(const std::string& address, const std::string& requestId)
 {
-    order(address, "POST", "/v1/cancel", json { { "request_id", requestId } }.dump(), orderTimeout);
+    sendShortRequest(
+        address, "POST", "/v1/cancel", json { { "request_id", requestId } }.dump(), shortRequestTimeout);
 }
 
 bool http_target_adapter::exportBlocks(const std::string& address, const export_call& call)
@@ -309,7 +310,7 @@
         { "blocks", call.blocks },
         { "url", call.url },
     };
-    return order(address, "POST", "/v1/kv/export", body.dump(), orderTimeout) != nullptr;
+    return sendShortRequest(address, "POST", "/v1/kv/export", body.dump(), shortRequestTimeout) != nullptr;
 }
 
 bool http_target_adapter::loadVersion(const target_process& target, const load_call& call)
@@ -320,10 +321,11 @@
         { "version", call.version },
         { "fence", call.fence },
     };
-    return order(target.address, "POST", "/v1/orders", body.dump(), orderTimeout) != nullptr;
+    return sendShortRequest(target.address, "POST", "/v1/orders", body.dump(), shortRequestTimeout)
+        != nullptr;
 }
 
-process_state http_target_adapter::stateOf(const target_process& target)
+process_state http_target_adapter::probeProcess(const target_process& target)
 {
     try {
         Poco::Net::StreamSocket socket;
@@ -333,11 +335,11 @@
     } catch (const Poco::Exception&) {
         return process_state::unknown;
     }
-    auto body = order(target.address, "GET", "/healthz", "", probeTimeout);
-    json answer = json::parse(body ? *body : "", nullptr, false);
-    if (!answer.is_object())
+    auto body = sendShortRequest(target.address, "GET", "/healthz", "", probeTimeout);
+    json reply = json::parse(body ? *body : "", nullptr, false);
+    if (!reply.is_object())
         return process_state::unknown;
-    bool same = answer.value("incarnation", std::uint64_t(0)) == target.incarnation;
+    bool same = reply.value("incarnation", std::uint64_t(0)) == target.incarnation;
     return same ? process_state::same : process_state::ended;
 }
 
--- a/packages/entry/src/plumfold_peer_mesh.cpp
+++ b/packages/entry/src/plumfold_peer_mesh.cpp
@@ -13,10 +13,10 @@
 constexpr std::chrono::milliseconds connectTimeout { 300 };
 constexpr std::chrono::milliseconds gossipTimeout { 1000 };
 constexpr std::chrono::milliseconds permitTimeout { 300 };
-constexpr std::chrono::milliseconds shareTimeout { 50 };
+constexpr std::chrono::milliseconds suspectBroadcastTimeout { 50 };
 constexpr auto reconnectPause = 200 * kj::MILLISECONDS;
 constexpr core::milliseconds reportRefresh { 1000 };
-constexpr core::milliseconds reportForgetTime { 10'000 };
+constexpr core::milliseconds reportMaxAge { 10'000 };
 
 } // namespace
 
@@ -38,11 +38,11 @@
         event.peer.lastSeenAt = runtime::now();
         for (auto suspect : params.getSuspects())
             event.suspects.push_back(wire::read(suspect));
-        m_mesh.onPeerDomain(event.peer.name, event.peer.failureDomain);
-        m_mesh.m_duty.tryPost(std::move(event));
+        m_mesh.setPeerFailureDomain(event.peer.name, event.peer.failureDomain);
+        m_mesh.m_dispatchThread.tryPost(std::move(event));
         for (auto report : params.getReports()) {
             auto sentAt = runtime::now() - core::milliseconds(report.getAgeMs());
-            m_mesh.m_duty.tryPost(report_event { wire::read(report), sentAt });
+            m_mesh.m_dispatchThread.tryPost(report_event { wire::read(report), sentAt });
         }
         return kj::READY_NOW;
     }
@@ -50,13 +50,13 @@
     kj::Promise<void> acquire(AcquireContext call) override
     {
         auto params = call.getParams();
-        core::permit_request ask { params.getFrom().cStr(), params.getTarget().cStr(),
+        core::permit_request permitRequest { params.getFrom().cStr(), params.getTarget().cStr(),
             params.getIncarnation(), params.getAlone() };
         auto pair = kj::newPromiseAndCrossThreadFulfiller<core::permit_answer>();
         auto fulfiller = std::make_shared<decltype(pair.fulfiller)>(kj::mv(pair.fulfiller));
-        permit_asked_event event { std::move(ask),
+        permit_request_event event { std::move(permitRequest),
             [fulfiller](core::permit_answer answer) { (*fulfiller)->fulfill(kj::mv(answer)); } };
-        KJ_REQUIRE(m_mesh.m_duty.tryPost(std::move(event)), "the entry is overloaded: ask later");
+        KJ_REQUIRE(m_mesh.m_dispatchThread.tryPost(std::move(event)), "the entry is overloaded: ask later");
         return pair.promise.then([call](core::permit_answer answer) mutable {
             auto results = call.getResults();
             results.setGranted(answer.granted);
@@ -68,14 +68,15 @@
 
     kj::Promise<void> suspect(SuspectContext call) override
     {
-        m_mesh.m_duty.tryPost(suspect_event { wire::read(call.getParams().getSuspect()) });
+        m_mesh.m_dispatchThread.tryPost(suspect_event { wire::read(call.getParams().getSuspect()) });
         return kj::READY_NOW;
     }
 
     kj::Promise<void> release(ReleaseContext call) override
     {
         auto params = call.getParams();
-        m_mesh.m_duty.tryPost(permit_released_event { params.getPermit(), wire::read(params.getOutcome()) });
+        m_mesh.m_dispatchThread.tryPost(
+            permit_released_event { params.getPermit(), wire::read(params.getOutcome()) });
         return kj::READY_NOW;
     }
 
@@ -85,13 +86,13 @@
         permits_renewed_event event { params.getFrom().cStr(), {} };
         for (auto permit : params.getPermits())
             event.permits.push_back(permit);
-        m_mesh.m_duty.tryPost(std::move(event));
+        m_mesh.m_dispatchThread.tryPost(std::move(event));
         return kj::READY_NOW;
     }
 
     kj::Promise<void> configuration(ConfigurationContext call) override
     {
-        auto snapshot = m_mesh.m_duty.snapshot();
+        auto snapshot = m_mesh.m_dispatchThread.snapshot();
         call.getResults().setKnown(snapshot.configurationKnown);
         core::configuration_update update;
         update.revision = snapshot.config->revision();
@@ -105,12 +106,12 @@
     peer_mesh& m_mesh;
 };
 
-peer_mesh::peer_mesh(
-    wire::rpc_thread& rpc, const runtime::settings& settings, std::uint64_t incarnation, dispatch_duty& duty)
+peer_mesh::peer_mesh(wire::rpc_thread& rpc, const runtime::settings& settings, std::uint64_t incarnation,
+    dispatch_thread& dispatchThread)
     : m_rpc(rpc)
     , m_settings(settings)
     , m_incarnation(incarnation)
-    , m_duty(duty)
+    , m_dispatchThread(dispatchThread)
 {
     for (const auto& peer : m_settings.entry->peers) {
         if (peer.name != m_settings.process.name)
@@ -140,22 +141,22 @@
     m_reports[report.name] = direct_report { report, sentAt };
 }
 
-void peer_mesh::shareSuspect(const core::suspect_state& suspect)
+void peer_mesh::broadcastSuspect(const core::suspect_state& suspect)
 {
     try {
         m_rpc.run([&] {
-            auto told = kj::heapArrayBuilder<kj::Promise<void>>(m_links.size());
+            auto sent = kj::heapArrayBuilder<kj::Promise<void>>(m_links.size());
             for (auto& [name, each] : m_links) {
                 if (each.peer == nullptr) {
-                    told.add(kj::READY_NOW);
+                    sent.add(kj::READY_NOW);
                     continue;
                 }
                 auto request = KJ_ASSERT_NONNULL(each.peer).suspectRequest();
                 wire::write(request.initSuspect(), suspect);
-                told.add(wire::withTimeout(m_rpc, request.send().ignoreResult(), shareTimeout)
+                sent.add(wire::withTimeout(m_rpc, request.send().ignoreResult(), suspectBroadcastTimeout)
                              .catch_([](kj::Exception&&) {}));
             }
-            return kj::joinPromises(told.finish());
+            return kj::joinPromises(sent.finish());
         });
     } catch (const kj::Exception&) {
         // The entry stops; the verdict reaches the others through control.
@@ -184,7 +185,7 @@
         to.connection = kj::mv(connection);
         to.connecting = false;
         ++to.generation;
-        if (!m_duty.snapshot().configurationKnown)
+        if (!m_dispatchThread.snapshot().configurationKnown)
             fetchConfiguration(to);
     });
     m_tasks->add(ready.catch_([this, &to](kj::Exception&&) {
@@ -219,10 +220,10 @@
 void peer_mesh::fetchConfiguration(link& from)
 {
     auto request = KJ_ASSERT_NONNULL(from.peer).configurationRequest();
-    auto answer = wire::withTimeout(m_rpc, request.send().dropPipeline(), gossipTimeout);
-    m_tasks->add(answer.then([this](capnp::Response<wire::EntryPeer::ConfigurationResults> response) {
+    auto pending = wire::withTimeout(m_rpc, request.send().dropPipeline(), gossipTimeout);
+    m_tasks->add(pending.then([this](capnp::Response<wire::EntryPeer::ConfigurationResults> response) {
         if (response.getKnown())
-            m_duty.tryPost(configuration_event { wire::read(response.getUpdate()), false });
+            m_dispatchThread.tryPost(configuration_event { wire::read(response.getUpdate()), false });
     }));
 }
 
@@ -235,7 +236,7 @@
     return m_rpc.timer().afterDelay(gossipInterval).then([this] { return gossipLoop(); });
 }
 
-void peer_mesh::onPeerDomain(const std::string& name, const std::string& failureDomain)
+void peer_mesh::setPeerFailureDomain(const std::string& name, const std::string& failureDomain)
 {
     auto found = m_links.find(name);
     if (found == m_links.end() || found->second.failureDomain == failureDomain)
@@ -250,7 +251,7 @@
         to.relay.emplace(to.failureDomain == m_settings.process.failureDomain, reportRefresh);
     std::vector<direct_report> due;
     std::lock_guard lock(m_reportMutex);
-    std::erase_if(m_reports, [&](const auto& each) { return now - each.second.sentAt > reportForgetTime; });
+    std::erase_if(m_reports, [&](const auto& each) { return now - each.second.sentAt > reportMaxAge; });
     for (const auto& [name, each] : m_reports) {
         if (to.relay->markSentIfDue(each.report, now))
             due.push_back(each);
@@ -278,7 +279,7 @@
         auto age = std::chrono::duration_cast<core::milliseconds>(now - due[index].sentAt);
         wire::write(reports[index], due[index].report, age);
     }
-    auto suspects = m_duty.snapshot().suspects;
+    auto suspects = m_dispatchThread.snapshot().suspects;
     auto list = request.initSuspects(suspects.size());
     for (unsigned index = 0; index < suspects.size(); ++index)
         wire::write(list[index], suspects[index]);
@@ -291,15 +292,15 @@
 
 // ---------------------------------------------------------------- permits
 
-void peer_mesh::ask(const core::acquire_permit_action& action)
+void peer_mesh::requestPermit(const core::acquire_permit_action& action)
 {
     m_rpc.post([this, action] {
-        auto unanswered = [this, request = action.request, owner = action.owner] {
-            m_duty.post(permit_answer_event { request, owner, std::nullopt });
+        auto reportUnreachable = [this, request = action.request, owner = action.owner] {
+            m_dispatchThread.post(permit_answer_event { request, owner, std::nullopt });
         };
         link* to = connectedLink(action.owner);
         if (!to) {
-            unanswered();
+            reportUnreachable();
             return;
         }
         auto request = KJ_ASSERT_NONNULL(to->peer).acquireRequest();
@@ -307,14 +308,14 @@
         request.setTarget(action.permitRequest.target);
         request.setIncarnation(action.permitRequest.incarnation);
         request.setAlone(action.permitRequest.alone);
-        auto answer = wire::withTimeout(m_rpc, request.send().dropPipeline(), permitTimeout);
-        m_tasks->add(answer.then(
+        auto pending = wire::withTimeout(m_rpc, request.send().dropPipeline(), permitTimeout);
+        m_tasks->add(pending.then(
             [this, action](capnp::Response<wire::EntryPeer::AcquireResults> response) {
                 core::permit_answer answer { response.getGranted(), response.getPermit(), response.getLimit(),
                     core::milliseconds(response.getRetryAfterMs()) };
-                m_duty.post(permit_answer_event { action.request, action.owner, answer });
+                m_dispatchThread.post(permit_answer_event { action.request, action.owner, answer });
             },
-            [unanswered](kj::Exception&&) { unanswered(); }));
+            [reportUnreachable](kj::Exception&&) { reportUnreachable(); }));
     });
 }
 
--- a/packages/entry/src/plumfold_peer_mesh.hpp
+++ b/packages/entry/src/plumfold_peer_mesh.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "plumfold_dispatch_duty.hpp"
+#include "plumfold_dispatch_thread.hpp"
 
 #include "plumfold/core/plumfold_report_relay.hpp"
 
@@ -25,24 +25,24 @@
     core::instant sentAt {};
 };
 
-/// The links between entries: gossip of reports and suspects, and permits. Lives on the RPC duty; the public
-/// calls may be made from any thread.
+/// The links between entries: gossip of reports and suspects, and permits. Lives on the RPC thread; the
+/// public calls may be made from any thread.
 class peer_mesh {
 public:
     peer_mesh(wire::rpc_thread& rpc, const runtime::settings& settings, std::uint64_t incarnation,
-        dispatch_duty& duty);
+        dispatch_thread& dispatchThread);
     ~peer_mesh();
 
     /// Relays a target's report to the other entries with the next gossip.
     void onDirectReport(const core::target_report& report, core::instant sentAt);
 
-    void ask(const core::acquire_permit_action& action);
+    void requestPermit(const core::acquire_permit_action& action);
     void release(const core::release_permit_action& action);
     void renew(const core::renew_permits_action& action);
 
     /// Tells the other entries of a suspect and waits, for a short time, until they know. Not for the RPC
-    /// duty.
-    void shareSuspect(const core::suspect_state& suspect);
+    /// thread.
+    void broadcastSuspect(const core::suspect_state& suspect);
 
     /// Tells the other entries that this one leaves.
     void setLeaving();
@@ -61,7 +61,7 @@
     };
 
     kj::Promise<void> gossipLoop();
-    void onPeerDomain(const std::string& name, const std::string& failureDomain);
+    void setPeerFailureDomain(const std::string& name, const std::string& failureDomain);
     void gossipTo(link& to);
     std::vector<direct_report> dueReports(link& to, core::instant now);
     void connect(link& to);
@@ -72,7 +72,7 @@
     wire::rpc_thread& m_rpc;
     runtime::settings m_settings;
     std::uint64_t m_incarnation;
-    dispatch_duty& m_duty;
+    dispatch_thread& m_dispatchThread;
     std::atomic<bool> m_leaving { false };
     std::mutex m_reportMutex;
     std::map<std::string, direct_report> m_reports;
--- a/packages/entry/src/plumfold_request_claim.cpp
+++ b/packages/entry/src/plumfold_request_claim.cpp
@@ -69,7 +69,7 @@
 void request_claim::reportNotRun()
 {
     core::finish_claim_command command { m_claim.key, m_claim.holder, core::claim_outcome::not_run, {} };
-    m_context.control.submitLater(core::command { 0, std::move(command) }, releaseTimeout);
+    m_context.control.submitAsync(core::command { 0, std::move(command) }, releaseTimeout);
 }
 
 void request_claim::reportCompleted(const core::stored_response& response)
@@ -91,7 +91,7 @@
     if (m_context.control.submit(command, finishTimeout).ok())
         return;
     runtime::log_event("claim_not_finished", runtime::log_level::warning).with("holder", m_claim.holder);
-    m_context.control.submitLater(std::move(command), releaseTimeout);
+    m_context.control.submitAsync(std::move(command), releaseTimeout);
 }
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_service_flow.cpp
+++ b/packages/entry/src/plumfold_service_flow.cpp
@@ -54,7 +54,8 @@
             = m_flow.context.targets.callService({ plan->address, plan->incarnation }, makeCall());
         m_flow.writeSpan("target", from, { { "target", plan->target } });
         if (result.outcome == attempt_outcome::lost
-            && m_flow.context.targets.stateOf({ plan->address, plan->incarnation }) == process_state::ended)
+            && m_flow.context.targets.probeProcess({ plan->address, plan->incarnation })
+                == process_state::ended)
             result.outcome = attempt_outcome::crashed;
         core::attempt_report report;
         report.outcome = result.outcome;
@@ -107,7 +108,7 @@
     call.traceparent = m_flow.trace.child().toHeader();
     auto remaining = std::chrono::duration_cast<core::milliseconds>(m_flow.deadline - runtime::now());
     call.timeout = std::clamp(remaining, core::milliseconds(1), core::milliseconds(m_service.timeoutMs));
-    call.maxAnswerBytes = maxAnswerBytes;
+    call.maxResponseBytes = maxAnswerBytes;
     return call;
 }
 
--- a/packages/entry/src/plumfold_store_client.cpp
+++ b/packages/entry/src/plumfold_store_client.cpp
@@ -13,7 +13,7 @@
 // A store that does not answer within this costs more than it saves.
 constexpr std::chrono::milliseconds leaseTimeout { 30 };
 constexpr std::chrono::milliseconds allocateTimeout { 500 };
-constexpr auto pauseAfterFailure = 500 * kj::MILLISECONDS;
+constexpr auto failureBackOff = 500 * kj::MILLISECONDS;
 
 } // namespace
 
@@ -34,7 +34,8 @@
     });
 }
 
-std::string store_client::storeOf(const core::chain_owner& owner, const core::prompt_chain& chain) const
+std::string store_client::preferredStore(
+    const core::chain_owner& owner, const core::prompt_chain& chain) const
 {
     std::uint64_t seed = core::hashBytes(owner.customer, chain.front());
     std::string best;
@@ -73,7 +74,7 @@
 {
     auto& known = m_links[address];
     known.store = nullptr;
-    known.notBefore = m_rpc.timer().now() + pauseAfterFailure;
+    known.notBefore = m_rpc.timer().now() + failureBackOff;
     // The connection must not be destroyed inside one of its own callbacks.
     m_tasks->add(kj::evalLater([old = kj::mv(known.connection)] {}));
 }
@@ -84,9 +85,9 @@
     store_lease result { address, {}, {} };
     try {
         m_rpc.run([&]() -> kj::Promise<void> {
-            auto calling
+            auto leasing
                 = storeAt(address).then([&](wire::Store::Client store) { return send(store, result); });
-            return wire::withTimeout(m_rpc, kj::mv(calling), timeout).catch_([&](kj::Exception&& exception) {
+            return wire::withTimeout(m_rpc, kj::mv(leasing), timeout).catch_([&](kj::Exception&& exception) {
                 drop(address);
                 kj::throwFatalException(kj::mv(exception));
             });
@@ -104,19 +105,20 @@
 {
     if (m_addresses.empty() || chain.empty())
         return std::nullopt;
-    return call(storeOf(owner, chain), leaseTimeout, [&](wire::Store::Client& store, store_lease& result) {
-        auto request = store.leaseRequest();
-        request.setSecret(m_secret);
-        wire::write(request.initKey(), owner);
-        request.setChain(kj::arrayPtr(chain.data(), chain.size()));
-        request.setLeaseMs(static_cast<std::uint32_t>(leaseTime.count()));
-        return request.send().then([&result](capnp::Response<wire::Store::LeaseResults> response) {
-            result.lease.blocks = response.getBlocks();
-            result.lease.bytes = response.getBytes();
-            result.lease.ticket = response.getTicket();
-            result.blockAddress = response.getBlockAddress().cStr();
+    return call(
+        preferredStore(owner, chain), leaseTimeout, [&](wire::Store::Client& store, store_lease& result) {
+            auto request = store.leaseRequest();
+            request.setSecret(m_secret);
+            wire::write(request.initKey(), owner);
+            request.setChain(kj::arrayPtr(chain.data(), chain.size()));
+            request.setLeaseMs(static_cast<std::uint32_t>(leaseTime.count()));
+            return request.send().then([&result](capnp::Response<wire::Store::LeaseResults> response) {
+                result.lease.blocks = response.getBlocks();
+                result.lease.bytes = response.getBytes();
+                result.lease.ticket = response.getTicket();
+                result.blockAddress = response.getBlockAddress().cStr();
+            });
         });
-    });
 }
 
 std::optional<store_lease> store_client::allocate(const core::chain_owner& owner,
@@ -124,20 +126,21 @@
 {
     if (m_addresses.empty() || chain.empty())
         return std::nullopt;
-    return call(storeOf(owner, chain), allocateTimeout, [&](wire::Store::Client& store, store_lease& result) {
-        auto request = store.allocateRequest();
-        request.setSecret(m_secret);
-        wire::write(request.initKey(), owner);
-        request.setChain(kj::arrayPtr(chain.data(), chain.size()));
-        request.setBlockBytes(blockBytes);
-        request.setLeaseMs(static_cast<std::uint32_t>(leaseTime.count()));
-        return request.send().then([&result](capnp::Response<wire::Store::AllocateResults> response) {
-            result.lease.firstBlock = response.getFirstBlock();
-            result.lease.blocks = response.getBlocks();
-            result.lease.ticket = response.getTicket();
-            result.blockAddress = response.getBlockAddress().cStr();
+    return call(
+        preferredStore(owner, chain), allocateTimeout, [&](wire::Store::Client& store, store_lease& result) {
+            auto request = store.allocateRequest();
+            request.setSecret(m_secret);
+            wire::write(request.initKey(), owner);
+            request.setChain(kj::arrayPtr(chain.data(), chain.size()));
+            request.setBlockBytes(blockBytes);
+            request.setLeaseMs(static_cast<std::uint32_t>(leaseTime.count()));
+            return request.send().then([&result](capnp::Response<wire::Store::AllocateResults> response) {
+                result.lease.firstBlock = response.getFirstBlock();
+                result.lease.blocks = response.getBlocks();
+                result.lease.ticket = response.getTicket();
+                result.blockAddress = response.getBlockAddress().cStr();
+            });
         });
-    });
 }
 
 void store_client::endLease(const store_lease& lease)
--- a/packages/entry/src/plumfold_store_client.hpp
+++ b/packages/entry/src/plumfold_store_client.hpp
@@ -57,7 +57,7 @@
 
     std::optional<store_lease> call(
         const std::string& address, core::milliseconds timeout, const lease_call& send);
-    std::string storeOf(const core::chain_owner& owner, const core::prompt_chain& chain) const;
+    std::string preferredStore(const core::chain_owner& owner, const core::prompt_chain& chain) const;
     kj::Promise<wire::Store::Client> storeAt(const std::string& address);
     void drop(const std::string& address);
 
--- a/packages/entry/src/plumfold_target_listener.cpp
+++ b/packages/entry/src/plumfold_target_listener.cpp
@@ -54,8 +54,8 @@
 
 class announce_handler final : public Poco::Net::HTTPRequestHandler {
 public:
-    announce_handler(dispatch_duty& duty, peer_mesh& mesh)
-        : m_duty(duty)
+    announce_handler(dispatch_thread& dispatchThread, peer_mesh& mesh)
+        : m_dispatchThread(dispatchThread)
         , m_mesh(mesh)
     {
     }
@@ -63,13 +63,13 @@
     void handleRequest(
         Poco::Net::HTTPServerRequest& request, Poco::Net::HTTPServerResponse& response) override
     {
-        response.setStatus(take(request));
+        response.setStatus(applyAnnouncement(request));
         response.setContentLength(0);
         response.send();
     }
 
 private:
-    HTTPResponse::HTTPStatus take(Poco::Net::HTTPServerRequest& request)
+    HTTPResponse::HTTPStatus applyAnnouncement(Poco::Net::HTTPServerRequest& request)
     {
         auto body = runtime::readBody(request.stream(), maxAnnouncementBytes);
         if (!body)
@@ -79,9 +79,9 @@
             core::target_report report = readReport(in);
             auto now = runtime::now();
             if (in.contains("cache"))
-                m_duty.tryPost(cache_event { readEvents(in["cache"], report) });
+                m_dispatchThread.tryPost(cache_event { readEvents(in["cache"], report) });
             m_mesh.onDirectReport(report, now);
-            m_duty.tryPost(report_event { std::move(report), now });
+            m_dispatchThread.tryPost(report_event { std::move(report), now });
             return HTTPResponse::HTTP_OK;
         } catch (const json::exception&) {
             return HTTPResponse::HTTP_BAD_REQUEST;
@@ -90,25 +90,25 @@
         }
     }
 
-    dispatch_duty& m_duty;
+    dispatch_thread& m_dispatchThread;
     peer_mesh& m_mesh;
 };
 
 class announce_factory final : public Poco::Net::HTTPRequestHandlerFactory {
 public:
-    announce_factory(dispatch_duty& duty, peer_mesh& mesh)
-        : m_duty(duty)
+    announce_factory(dispatch_thread& dispatchThread, peer_mesh& mesh)
+        : m_dispatchThread(dispatchThread)
         , m_mesh(mesh)
     {
     }
 
     Poco::Net::HTTPRequestHandler* createRequestHandler(const Poco::Net::HTTPServerRequest&) override
     {
-        return new announce_handler(m_duty, m_mesh);
+        return new announce_handler(m_dispatchThread, m_mesh);
     }
 
 private:
-    dispatch_duty& m_duty;
+    dispatch_thread& m_dispatchThread;
     peer_mesh& m_mesh;
 };
 
@@ -121,8 +121,8 @@
 
 } // namespace
 
-target_listener::target_listener(const std::string& address, dispatch_duty& duty, peer_mesh& mesh)
-    : m_http(address, new announce_factory(duty, mesh), targetLimits())
+target_listener::target_listener(const std::string& address, dispatch_thread& dispatchThread, peer_mesh& mesh)
+    : m_http(address, new announce_factory(dispatchThread, mesh), targetLimits())
 {
 }
 
--- a/packages/entry/src/plumfold_target_listener.hpp
+++ b/packages/entry/src/plumfold_target_listener.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "plumfold_dispatch_duty.hpp"
+#include "plumfold_dispatch_thread.hpp"
 #include "plumfold_peer_mesh.hpp"
 
 #include "plumfold/runtime/plumfold_http.hpp"
@@ -18,7 +18,7 @@
 /// sequence, and optionally cache {sequence, complete, added, removed}.
 class target_listener {
 public:
-    target_listener(const std::string& address, dispatch_duty& duty, peer_mesh& mesh);
+    target_listener(const std::string& address, dispatch_thread& dispatchThread, peer_mesh& mesh);
 
 private:
     runtime::http_listener m_http;
--- a/packages/entry/src/plumfold_order_duty.cpp
+++ b/packages/entry/src/plumfold_weight_load_thread.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_order_duty.hpp"
+#include "plumfold_weight_load_thread.hpp"
 
 #include "plumfold/runtime/plumfold_clock.hpp"
 #include "plumfold/runtime/plumfold_log.hpp"
@@ -14,12 +14,12 @@
 constexpr core::milliseconds renewInterval { 700 };
 constexpr core::milliseconds renewTimeout { 600 };
 // A new issuer first hears what the targets report, in case the former one's last order is still at work.
-constexpr core::milliseconds listenFirst { 600 };
+constexpr core::milliseconds firstOrderDelay { 600 };
 constexpr core::milliseconds loadTimeout { 15'000 };
 
 } // namespace
 
-order_duty::order_duty(entry_context& context)
+weight_load_thread::weight_load_thread(entry_context& context)
     : m_context(context)
     , m_planner(loadTimeout)
     , m_holder(context.settings.process.name + '/' + std::to_string(context.incarnation))
@@ -27,48 +27,48 @@
 {
 }
 
-order_duty::~order_duty()
+weight_load_thread::~weight_load_thread()
 {
     m_stopping = true;
     m_thread.join();
 }
 
-void order_duty::run()
+void weight_load_thread::run()
 {
     while (!m_stopping) {
         if (runtime::now() >= m_nextRenewal && !m_context.stopping)
             renewLease();
-        if (holdsLease() && runtime::now() - m_heldSince >= listenFirst)
-            giveOrders();
+        if (holdsLease() && runtime::now() - m_heldSince >= firstOrderDelay)
+            sendLoadOrders();
         std::this_thread::sleep_for(planInterval);
     }
 }
 
-bool order_duty::holdsLease() const
+bool weight_load_thread::holdsLease() const
 {
     return m_fence && runtime::now() < m_heldUntil;
 }
 
-void order_duty::renewLease()
+void weight_load_thread::renewLease()
 {
-    auto asked = runtime::now();
-    m_nextRenewal = asked + renewInterval;
+    auto requestedAt = runtime::now();
+    m_nextRenewal = requestedAt + renewInterval;
     core::lease_command lease { "orders/" + m_context.settings.process.failureDomain, m_holder,
         static_cast<std::uint32_t>(leaseDuration.count()) };
-    auto answer = m_context.control.submit(core::command { 0, lease }, renewTimeout);
-    const auto* result = answer.ok() ? std::get_if<core::lease_result>(&*answer) : nullptr;
+    auto response = m_context.control.submit(core::command { 0, lease }, renewTimeout);
+    const auto* result = response.ok() ? std::get_if<core::lease_result>(&*response) : nullptr;
     if (!result || !result->granted)
         return;
     if (m_fence != result->fence) {
-        m_heldSince = asked;
+        m_heldSince = requestedAt;
         runtime::log_event("orders_lease").with("fence", result->fence);
     }
     m_fence = result->fence;
     // Counted from before the call: control's clock starts later.
-    m_heldUntil = asked + leaseDuration - leaseMargin;
+    m_heldUntil = requestedAt + leaseDuration - leaseMargin;
 }
 
-void order_duty::giveOrders()
+void weight_load_thread::sendLoadOrders()
 {
     auto snapshot = m_context.dispatchThread.snapshot();
     const auto* domain = snapshot.config->failureDomain(m_context.settings.process.failureDomain);
@@ -77,22 +77,22 @@
     auto orders
         = m_planner.plan(*snapshot.config, snapshot.ownTargets, domain->maxConcurrentLoads, runtime::now());
     for (const auto& order : orders) {
-        bool taken = holdsLease()
+        bool accepted = holdsLease()
             && m_context.targets.loadVersion(
                 { order.address, order.incarnation }, { order.model, order.version, *m_fence });
         runtime::log_event("load_ordered")
             .with("target", order.target)
             .with("version", order.version)
-            .with("taken", taken ? "true" : "false");
-        if (!taken)
+            .with("taken", accepted ? "true" : "false");
+        if (!accepted)
             m_planner.onOrderRejected(order, runtime::now());
     }
-    auto givenUp = m_planner.abandonedVersions();
-    if (givenUp.size() > m_givenUpLogged) {
-        runtime::log_event("version_given_up", runtime::log_level::error).with("version", givenUp.back());
+    auto abandoned = m_planner.abandonedVersions();
+    if (abandoned.size() > m_abandonedLogged) {
+        runtime::log_event("version_given_up", runtime::log_level::error).with("version", abandoned.back());
         m_context.metrics.count("plumfold_versions_given_up_total");
     }
-    m_givenUpLogged = givenUp.size();
+    m_abandonedLogged = abandoned.size();
 }
 
 } // namespace plumfold::entry
--- a/packages/entry/src/plumfold_order_duty.hpp
+++ b/packages/entry/src/plumfold_weight_load_thread.hpp
@@ -12,16 +12,16 @@
 
 /// The order duty: gives orders to the targets of its failure domain while it holds the domain's lease, so
 /// that there is one issuer at a time, also for targets that ignore fencing numbers.
-class order_duty {
+class weight_load_thread {
 public:
-    explicit order_duty(entry_context& context);
-    ~order_duty();
+    explicit weight_load_thread(entry_context& context);
+    ~weight_load_thread();
 
 private:
     void run();
     void renewLease();
     bool holdsLease() const;
-    void giveOrders();
+    void sendLoadOrders();
 
     entry_context& m_context;
     core::load_planner m_planner;
@@ -30,7 +30,7 @@
     core::instant m_heldSince {};
     core::instant m_heldUntil {};
     core::instant m_nextRenewal {};
-    std::size_t m_givenUpLogged = 0;
+    std::size_t m_abandonedLogged = 0;
     std::atomic<bool> m_stopping { false };
     std::thread m_thread;
 };
--- a/tests/process/plumfold_service_moves_tests.cpp
+++ b/tests/process/plumfold_service_moves_tests.cpp
@@ -71,7 +71,7 @@
     std::vector<std::thread> m_threads;
 };
 
-class moving_system : public tests::two_domain_system {
+class run_counting_system : public tests::two_domain_system {
 public:
     std::size_t runsOf(const std::string& engine)
     {
@@ -81,7 +81,7 @@
 
 } // namespace
 
-TEST_CASE_METHOD(moving_system,
+TEST_CASE_METHOD(run_counting_system,
     "A failure domain that is taken out receives no new work and callers notice nothing", "[moves]")
 {
     background_load load(*this, { 1, 2 }, 4);
@@ -101,7 +101,7 @@
     CHECK(load.served > 0);
 }
 
-TEST_CASE_METHOD(moving_system, "A target that leaves receives no new work", "[moves]")
+TEST_CASE_METHOD(run_counting_system, "A target that leaves receives no new work", "[moves]")
 {
     background_load load(*this, { 1, 2 }, 4);
     REQUIRE(eventually([&] { return runsOf("e1") > 5; }));
@@ -123,7 +123,7 @@
     CHECK(load.broken == 0);
 }
 
-TEST_CASE_METHOD(moving_system, "A cold target is never given more than it can bear", "[moves][cold]")
+TEST_CASE_METHOD(run_counting_system, "A cold target is never given more than it can bear", "[moves][cold]")
 {
     background_load load(*this, { 1, 2 }, 8);
     process("e1").kill();
@@ -138,7 +138,7 @@
         CHECK(line != "overload");
 }
 
-TEST_CASE_METHOD(moving_system, "A whole system that starts cold overloads no target", "[moves][cold]")
+TEST_CASE_METHOD(run_counting_system, "A whole system that starts cold overloads no target", "[moves][cold]")
 {
     for (int number : { 1, 2 }) {
         std::string name = "e" + std::to_string(number);
@@ -170,7 +170,7 @@
     }
 }
 
-TEST_CASE_METHOD(moving_system,
+TEST_CASE_METHOD(run_counting_system,
     "An entry that is stopped finishes its streams and refuses the rest truthfully", "[moves][stop]")
 {
     constexpr std::uint32_t tokens = 300;
@@ -193,7 +193,7 @@
     CHECK(complete(2, "next").ok());
 }
 
-TEST_CASE_METHOD(moving_system, "Every kind of process stops cleanly on SIGTERM", "[moves][stop]")
+TEST_CASE_METHOD(run_counting_system, "Every kind of process stops cleanly on SIGTERM", "[moves][stop]")
 {
     startStore();
     background_load load(*this, { 2 }, 2);
@@ -209,7 +209,7 @@
     CHECK(code == 0);
 }
 
-TEST_CASE_METHOD(moving_system, "The other entry serves on when an entry is killed", "[moves][kill]")
+TEST_CASE_METHOD(run_counting_system, "The other entry serves on when an entry is killed", "[moves][kill]")
 {
     background_load load(*this, { 2 }, 4);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -222,8 +222,8 @@
     CHECK(load.broken == 0);
 }
 
-TEST_CASE_METHOD(moving_system, "Blocks survive evictions and a store that dies costs only recomputation",
-    "[moves][store]")
+TEST_CASE_METHOD(run_counting_system,
+    "Blocks survive evictions and a store that dies costs only recomputation", "[moves][store]")
 {
     startStore();
     std::string conversation(16'384, 's');
