--- a/packages/entry/include/plumfold/entry/plumfold_entry_role.hpp
+++ b/packages/entry/include/plumfold/entry/plumfold_entry_role.hpp
@@ -7,14 +7,15 @@
 
 namespace plumfold::entry {
 
-/// The entry role of a process: callers' API, targets' announcements, dispatching.
+/// The entry role of a process: serves the callers' API, receives targets' announcements and dispatches
+/// requests to targets.
 class entry_role {
 public:
     entry_role(const runtime::settings& settings, wire::rpc_thread& rpc);
     ~entry_role();
 
-    /// Tells balancer and peers that this entry leaves, then waits until open requests have ended or the
-    /// grace period is over.
+    /// Signals to load balancer and peers that this entry is leaving, then waits until all open requests have
+    /// ended or the grace period has expired.
     void drain();
 
 private:
--- a/packages/entry/include/plumfold/entry/plumfold_http_target_adapter.hpp
+++ b/packages/entry/include/plumfold/entry/plumfold_http_target_adapter.hpp
@@ -13,10 +13,10 @@
 
 namespace plumfold::entry {
 
-/// Speaks the completions protocol over HTTP with server-sent events. A connection belongs to one process of
-/// a target: when it is opened, the process is asked for its incarnation, and no request is sent to another
-/// one. Idle connections to engines are kept, since a new one costs two round trips of the time to the first
-/// token.
+/// Implements the completions protocol over HTTP with server-sent events. A connection belongs to one
+/// incarnation of a target: the incarnation is checked when the connection is opened, and no request is sent
+/// to a different one. Idle connections to engines are pooled, since opening one adds two round trips to the
+/// time to the first token.
 class http_target_adapter final : public target_adapter {
 public:
     completion_result complete(
@@ -30,8 +30,12 @@
 private:
     using session = std::unique_ptr<Poco::Net::HTTPClientSession>;
 
+    /// @return a pooled session, or a new one if none is idle.
+    /// @throws Poco::Exception if the target cannot be reached or has a different incarnation.
     session connect(const target_process& target);
+    /// @return a pooled session that is still open; null if there is none.
     session popIdleConnection(const target_process& target);
+    /// Returns a session to the pool and removes the sessions to other incarnations of the target.
     void returnIdleConnection(const target_process& target, session idle);
 
     std::mutex m_mutex;
--- a/packages/entry/include/plumfold/entry/plumfold_target_adapter.hpp
+++ b/packages/entry/include/plumfold/entry/plumfold_target_adapter.hpp
@@ -10,26 +10,26 @@
 
 namespace plumfold::entry {
 
-/// The process of a target that was chosen. A request must not reach another process at the same address: its
-/// permit was given for this one.
+/// The target process that a request is dispatched to. The request must not reach a different process at the
+/// same address, since its permit was granted for this incarnation.
 struct target_process {
     std::string address; ///< ip:port
     std::uint64_t incarnation = 0;
     auto operator<=>(const target_process&) const = default;
 };
 
-/// One run, or the rest of one, on a model engine.
+/// A completion to run on a model engine, or the remainder of one that was interrupted.
 struct completion_call {
     std::string requestId;
     std::string model;
     std::string adapter;
     std::string version;
     std::string prompt;
-    std::uint32_t maxTokens = 0; ///< Of the whole answer.
-    std::uint32_t resumeFrom = 0; ///< Index of the first token that is wanted.
-    std::string resumeText; ///< The answer up to that token.
+    std::uint32_t maxTokens = 0; ///< Limit for the whole completion, including resumeText.
+    std::uint32_t resumeFrom = 0; ///< Index of the first token to return; 0 for a new completion.
+    std::string resumeText; ///< The text of the tokens before resumeFrom.
     std::uint8_t priority = 1;
-    std::string importUrl; ///< Where the engine fetches KV blocks; empty for none.
+    std::string importUrl; ///< URL from which the engine imports KV blocks; empty for none.
     std::uint32_t importBlocks = 0;
     core::prompt_chain chain;
     std::string traceparent;
@@ -37,35 +37,36 @@
     core::milliseconds tokenTimeout { 0 };
 };
 
-/// Receives the tokens of a run.
+/// Receives the tokens of a completion.
 class token_sink {
 public:
     virtual ~token_sink() = default;
 
-    /// @param index position in the whole answer, from 0.
-    /// @return false to cancel the run.
+    /// @param index position in the whole completion, from 0.
+    /// @return false to cancel the completion.
     virtual bool onToken(std::uint32_t index, const std::string& text) = 0;
 
-    /// No more tokens are at hand for now; what was received should reach the caller.
+    /// Called when no further token is buffered, so that the received ones are flushed to the caller.
+    /// @return false to cancel the completion.
     virtual bool onPause() = 0;
 };
 
-/// How a run ended.
+/// The outcome of a completion.
 struct completion_result {
     core::attempt_outcome outcome = core::attempt_outcome::lost;
-    core::milliseconds firstToken { 0 };
+    core::milliseconds firstToken { 0 }; ///< Time to the first token.
     std::uint32_t promptTokens = 0;
     std::uint32_t cachedTokens = 0;
     std::uint32_t outputTokens = 0;
     std::string finishReason;
-    std::string failure; ///< For the log.
+    std::string failure; ///< Description of the failure for the log.
 };
 
-/// One call to a plain service.
+/// A plain request to a service target.
 struct service_call {
     std::string service;
     std::string method;
-    std::string path; ///< Below the service, with the query.
+    std::string path; ///< Path below the service, with the query.
     std::string contentType;
     std::string body;
     std::string idempotencyKey;
@@ -75,6 +76,7 @@
     std::size_t maxResponseBytes = 0;
 };
 
+/// The outcome of a service call.
 struct service_result {
     core::attempt_outcome outcome = core::attempt_outcome::lost;
     std::uint16_t status = 0;
@@ -83,52 +85,55 @@
     std::string failure;
 };
 
-/// Asks an engine to copy KV blocks of a prompt that it ran to a store.
+/// A request to an engine to export the KV blocks of a prompt to a store.
 struct export_call {
     std::string requestId;
     core::prompt_chain chain;
     std::uint32_t firstBlock = 0;
-    std::uint32_t blocks = 0;
-    std::string url;
+    std::uint32_t blocks = 0; ///< Number of blocks from firstBlock on.
+    std::string url; ///< URL that the engine writes the blocks to.
 };
 
+/// State of the process that a request was dispatched to.
 enum class process_state {
-    same, ///< The process that was chosen still answers.
-    ended, ///< Nothing listens there any more, or another process does.
-    unknown, ///< No answer in time.
+    same, ///< The process still responds.
+    ended, ///< Nothing listens at its address, or a different process does.
+    unknown, ///< No valid response within the timeout.
 };
 
 /// An order to load a weight version.
 struct load_call {
     std::string model;
     std::string version;
-    std::uint64_t fence = 0; ///< Fencing number; some targets refuse an order with an old one.
+    std::uint64_t fence = 0; ///< Fencing token; some targets reject orders with a stale one.
 };
 
-/// Everything that plumfold says to targets. The targets' real protocol is not known yet; only this
-/// interface's implementation depends on it.
+/// Interface for all requests to targets. Only its implementation depends on the targets' protocol, which is
+/// not specified yet.
 class target_adapter {
 public:
     virtual ~target_adapter() = default;
 
-    /// Runs a completion and passes its tokens on.
+    /// Runs a completion and passes its tokens to the sink. Blocks until the completion has ended.
     virtual completion_result complete(
         const target_process& target, const completion_call& call, token_sink& sink)
         = 0;
 
+    /// Calls a service target and waits for the whole response.
     virtual service_result callService(const target_process& target, const service_call& call) = 0;
 
-    /// Tells an engine that nobody wants a run any more.
+    /// Cancels a completion on an engine. Failures are ignored.
     virtual void cancel(const std::string& address, const std::string& requestId) = 0;
 
-    /// @return whether the engine took the order.
+    /// Requests an export of KV blocks to a store.
+    /// @return whether the engine accepted the request.
     virtual bool exportBlocks(const std::string& address, const export_call& call) = 0;
 
-    /// Orders a target to load a weight version. Its next reports tell whether it did.
-    /// @return whether the target took the order.
+    /// Orders a target to load a weight version. The target's later reports show whether it has.
+    /// @return whether the target accepted the order.
     virtual bool loadVersion(const target_process& target, const load_call& call) = 0;
 
-    /// Finds out what became of a target's process after a run was lost.
+    /// Checks whether a target process still runs, after the connection to it was lost.
     virtual process_state probeProcess(const target_process& target) = 0;
 };
 
--- a/packages/entry/src/plumfold_entry_role.cpp
+++ b/packages/entry/src/plumfold_entry_role.cpp
@@ -64,8 +64,8 @@
         m_weightLoadThread = std::make_unique<weight_load_thread>(m_context);
     }
 
-    // First the threads that use the dispatchThread, then the dispatchThread, then what the dispatchThread
-    // uses.
+    // Stops the users of the dispatch thread first, then the thread itself. The members that it uses are
+    // destroyed last.
     ~impl()
     {
         m_context.aborting = true;
--- a/packages/entry/src/plumfold_http_target_adapter.cpp
+++ b/packages/entry/src/plumfold_http_target_adapter.cpp
@@ -53,7 +53,7 @@
 }
 
 /// Sends a request with a body.
-/// @return whether all of it was written. False means that the target cannot have read a whole request.
+/// @return whether all of it was written. If not, the target cannot have received a whole request.
 bool send(Poco::Net::HTTPClientSession& session, Poco::Net::HTTPRequest& request, const std::string& body)
 {
     request.setContentLength64(static_cast<Poco::Int64>(body.size()));
@@ -87,7 +87,7 @@
     return event_kind::token;
 }
 
-/// Reads the event stream to its end.
+/// Reads events until the stream ends, fails or is cancelled.
 void readEvents(Poco::Net::HTTPClientSession& session, std::istream& in, const completion_call& call,
     core::instant started, completion_result& result, token_sink& sink)
 {
@@ -98,7 +98,7 @@
     while (std::getline(in, line)) {
         if (!line.empty() && line.back() == '\r')
             line.pop_back();
-        // An empty line ends an event. What has been received goes on to the caller before this thread waits
+        // An empty line ends an event. Received tokens are flushed to the caller before this thread blocks
         // for more.
         if (line.empty() && in.rdbuf()->in_avail() <= 0 && !sink.onPause()) {
             result.outcome = attempt_outcome::cancelled;
@@ -129,9 +129,9 @@
 
 namespace {
 
-/// Opens a connection and asks the process behind it who it is.
+/// Opens a connection and checks the incarnation of the process at the address.
 /// @return a session on that connection.
-/// @throws Poco::Exception when it is not the process that was chosen, or nothing answers.
+/// @throws Poco::Exception if nothing responds or the incarnation differs.
 std::unique_ptr<Poco::Net::HTTPClientSession> openVerified(const target_process& target)
 {
     Poco::Net::StreamSocket socket;
@@ -161,7 +161,7 @@
     while (!idle.empty()) {
         session candidate = std::move(idle.back());
         idle.pop_back();
-        // Readable while idle means that the target has closed it.
+        // An idle connection that is readable was closed by the target.
         if (!candidate->socket().poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
             return candidate;
     }
@@ -177,7 +177,7 @@
 void http_target_adapter::returnIdleConnection(const target_process& target, session idle)
 {
     std::lock_guard lock(m_mutex);
-    // Connections to earlier processes of the target are of no use any more.
+    // Connections to other incarnations of the target can no longer be used.
     std::erase_if(m_idle, [&](const auto& each) {
         return each.first.address == target.address && each.first.incarnation != target.incarnation;
     });
@@ -214,8 +214,7 @@
         readEvents(*used, in, call, started, result, sink);
         if (result.outcome == attempt_outcome::succeeded) {
             std::string rest;
-            while (std::getline(in, rest)) {
-            } // up to the last chunk, so that the connection can be used again
+            while (std::getline(in, rest)) { } // reads the last chunk, so that the connection can be reused
             returnIdleConnection(target, std::move(used));
         }
     } catch (const Poco::Exception& error) {
@@ -232,8 +231,8 @@
     service_result result;
     result.outcome = attempt_outcome::not_reached;
     try {
-        // A kept connection may be closed by the service while the call is on its way, and then nobody knows
-        // whether it ran. Calls to services therefore use a connection of their own.
+        // A service may close a pooled connection while a call is in flight, which leaves it unknown whether
+        // the call ran. Each call to a service therefore opens a new connection.
         session used = openVerified(target);
         runtime::setIoTimeout(used->socket(), call.timeout);
         Poco::Net::HTTPRequest request(call.method, "/v1/services/" + call.service + call.path, "HTTP/1.1");
@@ -269,8 +268,8 @@
 
 namespace {
 
-/// Sends a short order to a target.
-/// @return the reply's body, or nothing when the order was not taken.
+/// Sends a request to a target over a new connection.
+/// @return the body of the response; null if there was no response with status 200.
 std::unique_ptr<std::string> sendShortRequest(const std::string& address, const std::string& method,
     const std::string& path, const std::string& body, milliseconds timeout)
 {
--- a/packages/entry/src/plumfold_target_listener.hpp
+++ b/packages/entry/src/plumfold_target_listener.hpp
@@ -10,8 +10,8 @@
 
 namespace plumfold::entry {
 
-/// Takes the announcements, load reports and cache events of targets. Together with the target adapter it is
-/// the only part that knows what targets speak.
+/// HTTP server that receives the announcements, load reports and cache events of targets. Only this class and
+/// the target adapter depend on the targets' protocol.
 ///
 /// `POST /v1/targets/announce` with a JSON body: name, incarnation, address, failure_domain, kind ("engine"
 /// or "service"), models [{model, version, adapters}], services, max_batch, running, queued, leaving,
