--- a/packages/entry/src/plumfold_control_client.cpp
+++ b/packages/entry/src/plumfold_control_client.cpp
@@ -15,8 +15,8 @@
 constexpr std::chrono::milliseconds attemptTimeout { 1000 };
 constexpr auto retryPause = 50 * kj::MILLISECONDS;
 constexpr auto watchPause = 150 * kj::MILLISECONDS;
-// After so many failed tries to reach the leader, an entry that has just started accepts what any control VM
-// knows.
+// An entry without a confirmed configuration requests linearizable reads until this many watch requests have
+// failed. After that, it accepts the configuration of a control VM without a quorum.
 constexpr unsigned linearizableWatchAttempts = 6;
 
 kj::Duration toKj(core::milliseconds time)
@@ -63,7 +63,8 @@
         request.setFailureDomain(m_options.failureDomain);
         auto session = request.send().getSession();
         auto& known = m_links[address];
-        // Two calls may have connected at the same time; the earlier connection may have calls under way.
+        // Two calls may have connected concurrently. The first connection may have calls in progress, so it
+        // is kept.
         if (known.session == nullptr) {
             known.connection = kj::mv(connection);
             known.session = session;
@@ -100,7 +101,7 @@
 {
     return sessionAt(m_options.addresses[m_watchIndex]).then([this](wire::EntrySession::Client session) {
         auto request = session.watchRequest();
-        // A revision that cannot exist asks for everything.
+        // A revision that cannot exist requests the whole configuration.
         request.setKnownRevision(m_refetch ? UINT64_MAX : m_knownRevision);
         request.setKnownDigest(m_knownDigest);
         request.setWaitMs(watchMs);
@@ -120,7 +121,7 @@
                 m_knownDigest = received.update.digest;
             }
             m_onUpdate(std::move(received));
-            // A control VM without a quorum learns nothing new; another one may be better off.
+            // A control VM without a quorum receives no updates, so the next one is tried.
             KJ_REQUIRE(!stale, "the control VM is cut off from the quorum");
             m_watchFailures = 0;
         });
--- a/packages/entry/src/plumfold_control_client.hpp
+++ b/packages/entry/src/plumfold_control_client.hpp
@@ -23,35 +23,37 @@
     std::vector<std::string> addresses;
 };
 
-/// News from a control VM.
+/// The response of a control VM to a watch request.
 struct watch_update {
     core::configuration_update update;
-    bool fresh = false; ///< Whether the control VM was in touch with a quorum.
+    bool fresh = false; ///< Whether the control VM was connected to a quorum.
     std::vector<core::verdict> verdicts;
 };
 
-/// Follows the configuration and sends commands to the control VM that leads. Lives on the RPC duty; the
-/// public calls may be made from any other thread.
+/// Watches the configuration and submits commands to the leading control VM. Runs on the RPC thread; the
+/// public functions may be called from any other thread.
 class control_client {
 public:
     using listener = std::function<void(watch_update)>;
 
+    /// @param onUpdate called on the RPC thread with each response to a watch request.
     control_client(wire::rpc_thread& rpc, control_client_options options, listener onUpdate);
     ~control_client();
 
-    /// Sends a command to the leader and waits for its result. Commands are idempotent, so one may be sent
-    /// again after an answer was lost.
-    /// @return unavailable when no quorum answered within the timeout; the command may be applied all the
-    /// same.
+    /// Submits a command to the leader and waits for its result. Commands are idempotent, so a command
+    /// can be retried after its response was lost.
+    /// @return unavailable if no quorum responded within the timeout; the command may have been applied
+    /// nevertheless.
     absl::StatusOr<core::command_result> submit(const core::command& command, core::milliseconds timeout);
 
-    /// Sends a command without waiting, trying again until it was applied or time is up.
+    /// Submits a command without waiting and retries until it is applied or the timeout expires.
     void submitAsync(core::command command, core::milliseconds timeout);
 
-    /// Makes the next watch fetch the whole configuration.
+    /// Makes the next watch request fetch the whole configuration.
     void refetch();
 
-    /// Sets what is known, so that watches return only what is newer.
+    /// Raises the known revision, so that watch requests return only later changes. Earlier revisions are
+    /// ignored.
     void advanceKnownRevision(std::uint64_t revision, std::uint64_t digest);
 
 private:
--- a/packages/entry/src/plumfold_peer_mesh.cpp
+++ b/packages/entry/src/plumfold_peer_mesh.cpp
@@ -159,7 +159,7 @@
             return kj::joinPromises(sent.finish());
         });
     } catch (const kj::Exception&) {
-        // The entry stops; the verdict reaches the others through control.
+        // The entry is stopping. The other entries receive the verdict from the control VMs.
     }
 }
 
@@ -216,7 +216,7 @@
     return nullptr;
 }
 
-// An entry that starts while no control VM answers takes the configuration of its peers.
+// Lets an entry that starts while no control VM responds use the configuration of its peers.
 void peer_mesh::fetchConfiguration(link& from)
 {
     auto request = KJ_ASSERT_NONNULL(from.peer).configurationRequest();
--- a/packages/entry/src/plumfold_peer_mesh.hpp
+++ b/packages/entry/src/plumfold_peer_mesh.hpp
@@ -19,40 +19,42 @@
 
 namespace plumfold::entry {
 
-/// A report that a target sent to this entry itself.
+/// A report that this entry received from the target itself.
 struct direct_report {
     core::target_report report;
     core::instant sentAt {};
 };
 
-/// The links between entries: gossip of reports and suspects, and permits. Lives on the RPC thread; the
-/// public calls may be made from any thread.
+/// Connections between entries: gossip of target reports and suspects, and requests for permits. Runs on the
+/// RPC thread; the public functions may be called from any thread.
 class peer_mesh {
 public:
     peer_mesh(wire::rpc_thread& rpc, const runtime::settings& settings, std::uint64_t incarnation,
         dispatch_thread& dispatchThread);
     ~peer_mesh();
 
-    /// Relays a target's report to the other entries with the next gossip.
+    /// Stores a target's report, which is sent to the other entries with the next gossip.
     void onDirectReport(const core::target_report& report, core::instant sentAt);
 
+    /// Requests a permit from the entry that owns the target's permits. The result is posted to the dispatch
+    /// thread.
     void requestPermit(const core::acquire_permit_action& action);
     void release(const core::release_permit_action& action);
     void renew(const core::renew_permits_action& action);
 
-    /// Tells the other entries of a suspect and waits, for a short time, until they know. Not for the RPC
-    /// thread.
+    /// Sends a suspect to the other entries and waits until they have received it or a short timeout expires.
+    /// Must not be called on the RPC thread.
     void broadcastSuspect(const core::suspect_state& suspect);
 
-    /// Tells the other entries that this one leaves.
+    /// Announces to the other entries that this one is leaving.
     void setLeaving();
 
 private:
     class server;
     struct link {
         std::string address;
-        std::string failureDomain; // known once the peer has gossiped
-        std::optional<core::report_relay> relay; // what the peer has been told over this connection
+        std::string failureDomain; // empty until the peer has gossiped
+        std::optional<core::report_relay> relay; // reports sent over this connection
         kj::Own<wire::rpc_connection> connection;
         kj::Maybe<wire::EntryPeer::Client> peer;
         bool connecting = false;
--- a/packages/entry/src/plumfold_store_client.cpp
+++ b/packages/entry/src/plumfold_store_client.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds connectTimeout { 50 };
-// A store that does not answer within this costs more than it saves.
+// Waiting longer for a store costs more than the fetched blocks save.
 constexpr std::chrono::milliseconds leaseTimeout { 30 };
 constexpr std::chrono::milliseconds allocateTimeout { 500 };
 constexpr auto failureBackOff = 500 * kj::MILLISECONDS;
--- a/packages/entry/src/plumfold_store_client.hpp
+++ b/packages/entry/src/plumfold_store_client.hpp
@@ -16,30 +16,33 @@
 
 /// A lease on blocks of a store.
 struct store_lease {
-    std::string store; ///< The store's address for calls.
+    std::string store; ///< RPC address of the store.
     core::block_lease lease;
-    std::string blockAddress; ///< Where engines read and write the blocks.
+    std::string blockAddress; ///< HTTP address at which engines read and write the blocks.
 
-    /// @return the URL under which an engine reads or writes the leased blocks.
+    /// @return the URL at which an engine reads or writes the leased blocks.
     std::string url() const
     {
         return "http://" + blockAddress + "/v1/blocks/" + std::to_string(lease.ticket);
     }
 };
 
-/// Finds and leases KV blocks on the stores. A prompt's blocks lie on the store that rendezvous hashing over
-/// its first block gives. The public calls may be made from any thread but the RPC duty.
+/// Finds and leases KV blocks on the stores. The store for a prompt is chosen by rendezvous hashing of the
+/// customer and the prompt's first block. The public functions may be called from any thread except the RPC
+/// thread.
 class store_client {
 public:
     store_client(wire::rpc_thread& rpc, std::vector<std::string> addresses, std::string secret);
     ~store_client();
 
-    /// @return a lease on the blocks that a store holds; nothing when it holds none or does not answer in
-    /// time.
+    /// Leases the blocks of a prompt for reading.
+    /// @return the lease; nothing if the store holds none of the blocks or does not respond in time.
     std::optional<store_lease> lease(
         const core::chain_owner& owner, const core::prompt_chain& chain, core::milliseconds leaseTime);
 
-    /// @return a lease for writing the missing blocks; nothing when there are none or no room.
+    /// Leases space for the blocks of a prompt that the store does not hold.
+    /// @param blockBytes size of one block.
+    /// @return the lease; nothing if no block is missing, the store is full or it does not respond in time.
     std::optional<store_lease> allocate(const core::chain_owner& owner, const core::prompt_chain& chain,
         std::uint32_t blockBytes, core::milliseconds leaseTime);
 
