--- a/packages/entry/src/plumfold_dispatch_thread.cpp
+++ b/packages/entry/src/plumfold_dispatch_thread.cpp
@@ -60,7 +60,7 @@
 
 void dispatch_thread::post(dispatch_event event)
 {
-    // A finished request that is not reported would hold its permit until the lease ends.
+    // If the event of a finished request were dropped, its permit would be held until the lease expires.
     while (!m_stopping && !m_ring.tryPush(event))
         std::this_thread::sleep_for(fullRingPause);
 }
@@ -145,7 +145,7 @@
 {
     m_tickets.erase(event.request);
     auto actions = m_dispatcher.cancel(event.request, runtime::now());
-    // When the request had just been started, its verdict was never read: nothing was sent to the target.
+    // If the request was just started, nobody has read its result, so nothing was sent to the target.
     core::attempt_report unused;
     unused.outcome = core::attempt_outcome::cancelled;
     for (auto& each : m_dispatcher.onFinished(event.request, unused, runtime::now()))
--- a/packages/entry/src/plumfold_dispatch_thread.hpp
+++ b/packages/entry/src/plumfold_dispatch_thread.hpp
@@ -15,15 +15,15 @@
 
 namespace plumfold::entry {
 
-/// What a waiting request was told: where it runs, or why it does not.
+/// The plan for a dispatched request, or the error of a rejected one.
 using dispatch_result = std::variant<core::dispatch_plan, core::error_info>;
 
-/// Joins a caller's thread that waits for a verdict and the dispatch duty that gives it. Shared because
-/// either side may be done first.
+/// Passes a dispatch result from the dispatch thread to the thread that waits for it. Ownership is shared,
+/// since either side may finish first.
 class dispatch_ticket {
 public:
     void set(dispatch_result result);
-    /// @return the verdict, or nothing when none came within the timeout.
+    /// @return the result; nothing if there was none within the timeout.
     std::optional<dispatch_result> wait(core::milliseconds timeout);
 
 private:
@@ -57,7 +57,7 @@
 };
 struct configuration_event {
     core::configuration_update update;
-    bool confirmed; ///< By a control VM in touch with a quorum.
+    bool confirmed; ///< Whether it came from a control VM that is connected to a quorum.
 };
 struct verdicts_event {
     std::vector<core::verdict> verdicts;
@@ -72,11 +72,11 @@
 struct permit_answer_event {
     core::request_number request;
     std::string owner;
-    std::optional<core::permit_answer> answer; ///< Empty when the owner could not be asked.
+    std::optional<core::permit_answer> answer; ///< Empty if the owner could not be reached.
 };
 struct permit_request_event {
     core::permit_request request;
-    std::function<void(core::permit_answer)> respond; ///< Called on the dispatch duty.
+    std::function<void(core::permit_answer)> respond; ///< Called on the dispatch thread.
 };
 struct permit_released_event {
     core::permit_id permit;
@@ -95,16 +95,17 @@
     report_event, cache_event, configuration_event, verdicts_event, peer_event, permit_answer_event,
     permit_request_event, permit_released_event, permits_renewed_event, transfer_event, suspect_event>;
 
-/// Where the dispatch duty hands on what it cannot do itself.
+/// Callbacks for the actions that need other components. They are called on the dispatch thread.
 struct dispatch_outputs {
     std::function<void(const core::acquire_permit_action&)> requestPermit;
     std::function<void(const core::release_permit_action&)> release;
     std::function<void(const core::renew_permits_action&)> renew;
     std::function<void(const core::condemn_action&)> condemn;
-    std::function<void()> refetchConfiguration; ///< An update did not fit; the whole configuration is needed.
+    std::function<void()>
+        refetchConfiguration; ///< Called if an update did not apply to the known configuration.
 };
 
-/// What other threads may read of the dispatcher's state.
+/// A copy of the dispatcher's state for other threads.
 struct dispatch_snapshot {
     std::shared_ptr<const core::configuration> config;
     bool configurationKnown = false;
@@ -114,26 +115,26 @@
     std::size_t targets = 0;
     core::milliseconds viewAge { 0 };
     std::vector<core::suspect_state> suspects;
-    std::vector<core::target_report> ownTargets; ///< Of this entry's failure domain.
+    std::vector<core::target_report> ownTargets; ///< Targets in the local failure domain.
     bool backgroundTransferAllowed = true;
 };
 
-/// The dispatch duty: one thread that owns the dispatcher. Other threads hand it events through a bounded
-/// ring.
+/// Thread that owns the dispatcher. Other threads post events to it through a bounded ring.
 class dispatch_thread {
 public:
     dispatch_thread(core::dispatch_options options, dispatch_outputs outputs, runtime::metrics& metrics);
     ~dispatch_thread();
 
-    /// Starts the thread. Until then events wait in the ring.
+    /// Starts the thread. Earlier events stay in the ring until then.
     void start();
-    /// Ends the thread; later events are dropped.
+    /// Stops the thread. Later events are dropped.
     void stop();
 
-    /// Hands over an event. Waits while the ring is full.
+    /// Posts an event and waits while the ring is full.
     void post(dispatch_event event);
 
-    /// Hands over an event that may be lost.
+    /// Posts an event that may be lost.
+    /// @return false if the ring was full.
     bool tryPost(dispatch_event event) { return m_ring.tryPush(std::move(event)); }
 
     dispatch_snapshot snapshot() const;
--- a/packages/entry/src/plumfold_weight_load_thread.cpp
+++ b/packages/entry/src/plumfold_weight_load_thread.cpp
@@ -9,11 +9,11 @@
 
 constexpr core::milliseconds planInterval { 100 };
 constexpr core::milliseconds leaseDuration { 3000 };
-// The holder stops this much earlier than control's clock would let another one in.
+// The holder stops this long before the control VM could grant the lease to another entry.
 constexpr core::milliseconds leaseMargin { 1000 };
 constexpr core::milliseconds renewInterval { 700 };
 constexpr core::milliseconds renewTimeout { 600 };
-// A new issuer first hears what the targets report, in case the former one's last order is still at work.
+// A new holder waits for target reports first, since the previous holder's last order may be in progress.
 constexpr core::milliseconds firstOrderDelay { 600 };
 constexpr core::milliseconds loadTimeout { 15'000 };
 
@@ -64,7 +64,7 @@
         runtime::log_event("orders_lease").with("fence", result->fence);
     }
     m_fence = result->fence;
-    // Counted from before the call: control's clock starts later.
+    // Measured from before the call, since the control VM starts the lease later.
     m_heldUntil = requestedAt + leaseDuration - leaseMargin;
 }
 
--- a/packages/entry/src/plumfold_weight_load_thread.hpp
+++ b/packages/entry/src/plumfold_weight_load_thread.hpp
@@ -10,8 +10,9 @@
 
 namespace plumfold::entry {
 
-/// The order duty: gives orders to the targets of its failure domain while it holds the domain's lease, so
-/// that there is one issuer at a time, also for targets that ignore fencing numbers.
+/// Thread that orders targets of the local failure domain to load weight versions. It sends orders only while
+/// it holds the domain's lease, so that there is one sender at a time, also for targets that ignore fencing
+/// tokens.
 class weight_load_thread {
 public:
     explicit weight_load_thread(entry_context& context);
