--- a/tests/process/plumfold_orders_tests.cpp
+++ b/tests/process/plumfold_orders_tests.cpp
@@ -9,7 +9,7 @@
 using namespace plumfold;
 using tests::test_system;
 
-TEST_CASE_METHOD(test_system, "A weight version that is put in force reaches every target", "[orders]")
+TEST_CASE_METHOD(test_system, "Every target loads a new current weight version", "[orders]")
 {
     startControl();
     startEntry(1);
@@ -27,7 +27,7 @@
             lines.begin(), lines.end(), [](const auto& line) { return line.starts_with("order v2"); });
     };
     CHECK(eventually([&] { return ordered("e1") == 1 && ordered("e2") == 1 && ordered("e3") == 1; }));
-    SECTION("also after the entry that gave the orders was killed")
+    SECTION("also after the entry that sent the orders was killed")
     {
         process("entry-1").kill();
         startEntry(1);
@@ -36,7 +36,7 @@
     }
 }
 
-TEST_CASE_METHOD(test_system, "A roll-out stops when the version does not come up", "[orders]")
+TEST_CASE_METHOD(test_system, "A weight rollout stops if targets cannot load the version", "[orders]")
 {
     startControl();
     startEntry(1);
--- a/tests/process/plumfold_service_moves_tests.cpp
+++ b/tests/process/plumfold_service_moves_tests.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Sends completions through both entries until it is stopped, and keeps what came back.
+/// Sends completions through the given entries until it is stopped and counts their outcomes.
 class background_load {
 public:
     background_load(test_system& system, std::vector<int> entries, int threads, std::size_t promptBytes = 0)
@@ -37,8 +37,8 @@
     }
 
     int served = 0;
-    int refused = 0;
-    int broken = 0; ///< No answer, or one that was not whole or not the caller's own.
+    int rejected = 0;
+    int failed = 0; ///< Any other outcome, such as an incomplete response or one to a different prompt.
     std::vector<std::string> faults;
 
 private:
@@ -54,9 +54,9 @@
             if (answer.ok() && answer.text == fakes::fakeAnswer(prompt, "v1", 10)) {
                 ++served;
             } else if (answer.errorRan == "not_run" && answer.headers.contains("Retry-After")) {
-                ++refused;
+                ++rejected;
             } else {
-                ++broken;
+                ++failed;
                 faults.push_back(
                     std::to_string(answer.status) + answer.errorType + answer.streamError + answer.failure);
             }
@@ -82,14 +82,15 @@
 } // namespace
 
 TEST_CASE_METHOD(run_counting_system,
-    "A failure domain that is taken out receives no new work and callers notice nothing", "[moves]")
+    "A failure domain taken out of service receives no new requests and every caller gets a valid response",
+    "[moves]")
 {
     background_load load(*this, { 1, 2 }, 4);
     REQUIRE(eventually([&] { return runsOf("e2") > 5; }));
     configure({ "failure-domain", "put", "west", "--in-service", "false" });
     for (int entry : { 1, 2 })
         waitForRevision(entry, 8);
-    std::this_thread::sleep_for(std::chrono::milliseconds(300)); // what was started before ends
+    std::this_thread::sleep_for(std::chrono::milliseconds(300)); // running requests end
     auto after = runsOf("e2");
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
     CHECK(runsOf("e2") == after);
@@ -97,19 +98,20 @@
     CHECK(eventually([&] { return runsOf("e2") > after; }));
     load.stop();
     INFO((load.faults.empty() ? "" : load.faults.front()));
-    CHECK(load.broken == 0);
+    CHECK(load.failed == 0);
     CHECK(load.served > 0);
 }
 
-TEST_CASE_METHOD(run_counting_system, "A target that leaves receives no new work", "[moves]")
+TEST_CASE_METHOD(
+    run_counting_system, "A target that is leaving or out of service receives no new requests", "[moves]")
 {
     background_load load(*this, { 1, 2 }, 4);
     REQUIRE(eventually([&] { return runsOf("e1") > 5; }));
-    SECTION("by its own word")
+    SECTION("announced by the target")
     {
         fault("e1", { { "leaving", true } });
     }
-    SECTION("by the operators'")
+    SECTION("set by an operator")
     {
         configure({ "target", "put", "e1", "--in-service", "false" });
         for (int entry : { 1, 2 })
@@ -120,10 +122,10 @@
     std::this_thread::sleep_for(std::chrono::milliseconds(700));
     CHECK(runsOf("e1") == after);
     load.stop();
-    CHECK(load.broken == 0);
+    CHECK(load.failed == 0);
 }
 
-TEST_CASE_METHOD(run_counting_system, "A cold target is never given more than it can bear", "[moves][cold]")
+TEST_CASE_METHOD(run_counting_system, "A cold target is never overloaded", "[moves][cold]")
 {
     background_load load(*this, { 1, 2 }, 8);
     process("e1").kill();
@@ -138,14 +140,14 @@
         CHECK(line != "overload");
 }
 
-TEST_CASE_METHOD(run_counting_system, "A whole system that starts cold overloads no target", "[moves][cold]")
+TEST_CASE_METHOD(run_counting_system, "A cold start of the whole system overloads no target", "[moves][cold]")
 {
     for (int number : { 1, 2 }) {
         std::string name = "e" + std::to_string(number);
         process(name).kill();
         startEngine(name, number, { "--cold-requests", "6", "--cold-limit", "1" });
     }
-    // No entry has seen a warm target yet: what they learned is gone with them.
+    // Restarted entries have no record of the load that a warm target handled.
     for (int number : { 1, 2 }) {
         process("entry-" + std::to_string(number)).kill();
         startEntry(number);
@@ -171,7 +173,7 @@
 }
 
 TEST_CASE_METHOD(run_counting_system,
-    "An entry that is stopped finishes its streams and refuses the rest truthfully", "[moves][stop]")
+    "A stopping entry completes its open streams and rejects new requests as not run", "[moves][stop]")
 {
     constexpr std::uint32_t tokens = 300;
     {
@@ -203,13 +205,14 @@
     CHECK(process("store-1").stop() == 0);
     CHECK(process("entry-1").stop() == 0);
     load.stop();
-    CHECK(load.broken == 0);
+    CHECK(load.failed == 0);
     int code = 0;
     plumfold({ "failure-domain", "put", "west" }, &code);
     CHECK(code == 0);
 }
 
-TEST_CASE_METHOD(run_counting_system, "The other entry serves on when an entry is killed", "[moves][kill]")
+TEST_CASE_METHOD(run_counting_system, "Requests through one entry succeed after the other entry is killed",
+    "[moves][kill]")
 {
     background_load load(*this, { 2 }, 4);
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
@@ -219,11 +222,12 @@
     CHECK(eventually([&] { return load.served > before + 10; }));
     load.stop();
     INFO((load.faults.empty() ? "" : load.faults.front()));
-    CHECK(load.broken == 0);
+    CHECK(load.failed == 0);
 }
 
 TEST_CASE_METHOD(run_counting_system,
-    "Blocks survive evictions and a store that dies costs only recomputation", "[moves][store]")
+    "Exported KV blocks survive engine restarts, and the loss of a store costs only recomputation",
+    "[moves][store]")
 {
     startStore();
     std::string conversation(16'384, 's');
@@ -233,7 +237,7 @@
                 + askTarget("e2", "/counts").value("bytes_exported", 0)
             > 0;
     }));
-    // The engines come back with empty caches; what they need is in the store.
+    // The engines restart with empty caches and import the blocks from the store.
     for (int number : { 1, 2 }) {
         std::string name = "e" + std::to_string(number);
         process(name).kill();
