--- a/tests/process/plumfold_service_moves_tests.cpp
+++ b/tests/process/plumfold_service_moves_tests.cpp
@@ -226,7 +226,7 @@
 }
 
 TEST_CASE_METHOD(run_counting_system,
-    "Exported KV blocks survive engine restarts, and the loss of a store costs only recomputation",
+    "Exported KV blocks survive engine restarts and the loss of a store costs only recomputation",
     "[moves][store]")
 {
     startStore();
