--- a/packages/control/src/plumfold_control_service.cpp
+++ b/packages/control/src/plumfold_control_service.cpp
@@ -224,7 +224,7 @@
         change.operatorName = m_who.name;
         change.requestId = params.getRequestId().cStr();
         change.expectedRevision = params.getExpectedRevision();
-        change.what = wire::read(params.getChange());
+        change.requestedChange = wire::read(params.getChange());
         KJ_REQUIRE(!change.requestId.empty(), "the request id is empty: give each change its own");
         return propose(std::move(change)).then([call](propose_answer answer) mutable {
             auto results = call.getResults();
