--- a/benchmarks/plumfold_bench_relay.cpp
+++ b/benchmarks/plumfold_bench_relay.cpp
@@ -52,7 +52,7 @@
 {
     auto request = requestFor(options, direct, "pair " + std::to_string(number), 4);
     auto start = clock_type::now();
-    request.leaveAfterTokens = 1;
+    request.disconnectAfterTokens = 1;
     auto answer = client::call(request);
     if (answer.tokens == 0)
         std::printf("relay: a call failed: %d %s\n", answer.status, answer.body.c_str());
--- a/packages/client/include/plumfold/client/plumfold_http_caller.hpp
+++ b/packages/client/include/plumfold/client/plumfold_http_caller.hpp
@@ -18,11 +18,12 @@
     std::string body;
     std::map<std::string, std::string> headers;
     core::milliseconds timeout { 30'000 };
-    std::size_t leaveAfterTokens = 0; ///< Closes the connection after so many tokens; 0 stays to the end.
+    std::size_t disconnectAfterTokens
+        = 0; ///< Closes the connection after so many tokens; 0 stays to the end.
 };
 
 /// What came back.
-struct call_answer {
+struct call_response {
     int status = 0; ///< HTTP status; 0 when no answer came.
     std::string body; ///< Whole body of an answer that is not a stream.
     std::map<std::string, std::string> headers;
@@ -43,7 +44,7 @@
 };
 
 /// Sends one call over a connection of its own and reads its answer, also a stream of server-sent events.
-call_answer call(const call_request& request);
+call_response call(const call_request& request);
 
 /// @return the body of a completion call.
 std::string completionBody(
--- a/packages/client/include/plumfold/client/plumfold_load_run.hpp
+++ b/packages/client/include/plumfold/client/plumfold_load_run.hpp
@@ -46,7 +46,6 @@
 load_report runLoad(const load_options& options);
 
 /// @return the prompt of a conversation at its nth return.
-std::string conversationPrompt(
-    const load_options& options, std::uint32_t conversation, std::uint32_t returns);
+std::string conversationPrompt(const load_options& options, std::uint32_t conversation, std::uint32_t turn);
 
 } // namespace plumfold::client
--- a/packages/client/src/plumfold_http_caller.cpp
+++ b/packages/client/src/plumfold_http_caller.cpp
@@ -21,87 +21,87 @@
 constexpr std::size_t maxBodyBytes = 64 << 20;
 constexpr std::string_view eventPrefix = "data: ";
 
-core::milliseconds since(core::instant start)
+core::milliseconds elapsedSince(core::instant start)
 {
     return std::chrono::duration_cast<core::milliseconds>(runtime::now() - start);
 }
 
-void readUsage(const json& usage, call_answer& answer)
+void readUsage(const json& usage, call_response& result)
 {
-    answer.promptTokens = usage.value("prompt_tokens", 0u);
-    answer.outputTokens = usage.value("completion_tokens", 0u);
-    answer.cachedTokens = usage.value("prompt_tokens_details", json::object()).value("cached_tokens", 0u);
+    result.promptTokens = usage.value("prompt_tokens", 0u);
+    result.outputTokens = usage.value("completion_tokens", 0u);
+    result.cachedTokens = usage.value("prompt_tokens_details", json::object()).value("cached_tokens", 0u);
 }
 
 std::string textOf(const json& choice)
 {
-    for (const char* shape : { "delta", "message" }) {
-        if (choice.contains(shape))
-            return choice[shape].value("content", "");
+    for (const char* messageKey : { "delta", "message" }) {
+        if (choice.contains(messageKey))
+            return choice[messageKey].value("content", "");
     }
     return choice.value("text", "");
 }
 
 /// @return false at the end of the stream.
-bool readEvent(std::string_view data, core::instant started, call_answer& answer)
+bool readEvent(std::string_view data, core::instant started, call_response& result)
 {
     if (data == "[DONE]") {
-        answer.done = true;
+        result.done = true;
         return false;
     }
     json event = json::parse(data);
     if (event.contains("error")) {
-        answer.streamError = event["error"].value("type", "unknown");
+        result.streamError = event["error"].value("type", "unknown");
         return false;
     }
     if (event.contains("usage")) {
-        readUsage(event["usage"], answer);
+        readUsage(event["usage"], result);
         return true;
     }
-    if (answer.tokens++ == 0)
-        answer.firstToken = since(started);
-    answer.text += textOf(event.at("choices").at(0));
+    if (result.tokens++ == 0)
+        result.firstToken = elapsedSince(started);
+    result.text += textOf(event.at("choices").at(0));
     return true;
 }
 
-void readStream(std::istream& in, const call_request& request, core::instant started, call_answer& answer)
+void readStream(std::istream& in, const call_request& request, core::instant started, call_response& result)
 {
     std::string line;
     while (std::getline(in, line)) {
         if (!line.starts_with(eventPrefix))
             continue;
-        if (!readEvent(std::string_view(line).substr(eventPrefix.size()), started, answer))
+        if (!readEvent(std::string_view(line).substr(eventPrefix.size()), started, result))
             return;
-        if (request.leaveAfterTokens > 0 && answer.tokens >= request.leaveAfterTokens)
+        if (request.disconnectAfterTokens > 0 && result.tokens >= request.disconnectAfterTokens)
             return;
     }
 }
 
-void readWhole(std::istream& in, const Poco::Net::HTTPResponse& response, call_answer& answer)
+void readFullBody(std::istream& in, const Poco::Net::HTTPResponse& response, call_response& result)
 {
     auto body = runtime::readBody(in, maxBodyBytes);
-    answer.body = body ? *body : std::string();
-    answer.done = !response.hasContentLength()
-        || static_cast<std::size_t>(response.getContentLength64()) == answer.body.size();
-    json whole = json::parse(answer.body, nullptr, false);
+    result.body = body ? *body : std::string();
+    result.done = !response.hasContentLength()
+        || static_cast<std::size_t>(response.getContentLength64()) == result.body.size();
+    json whole = json::parse(result.body, nullptr, false);
     if (!whole.is_object())
         return;
     if (whole.contains("error")) {
-        answer.errorType = whole["error"].value("type", "");
-        answer.errorRan = whole["error"].value("ran", "");
+        result.errorType = whole["error"].value("type", "");
+        result.errorRan = whole["error"].value("ran", "");
         return;
     }
     if (whole.contains("choices"))
-        answer.text = textOf(whole["choices"].at(0));
+        result.text = textOf(whole["choices"].at(0));
     if (whole.contains("usage"))
-        readUsage(whole["usage"], answer);
+        readUsage(whole["usage"], result);
 }
 
 } // namespace
 
-call_answer call(const call_request& request)
+call_response call(const call_request& request)
 {
-    call_answer answer;
+    call_response result;
     auto started = runtime::now();
     try {
         Poco::Net::StreamSocket socket;
@@ -119,20 +119,20 @@
         session.sendRequest(head) << request.body << std::flush;
         Poco::Net::HTTPResponse response;
         std::istream& in = session.receiveResponse(response);
-        answer.status = response.getStatus();
+        result.status = response.getStatus();
         for (const auto& [name, value] : response)
-            answer.headers[name] = value;
+            result.headers[name] = value;
         if (response.getContentType() == "text/event-stream")
-            readStream(in, request, started, answer);
+            readStream(in, request, started, result);
         else
-            readWhole(in, response, answer);
+            readFullBody(in, response, result);
     } catch (const Poco::Exception& error) {
-        answer.failure = error.displayText();
+        result.failure = error.displayText();
     } catch (const json::exception& error) {
-        answer.failure = error.what();
+        result.failure = error.what();
     }
-    answer.total = since(started);
-    return answer;
+    result.total = elapsedSince(started);
+    return result;
 }
 
 std::string completionBody(
--- a/packages/client/src/plumfold_load_run.cpp
+++ b/packages/client/src/plumfold_load_run.cpp
@@ -14,25 +14,25 @@
 
 namespace {
 
-constexpr int maxTries = 4;
+constexpr int maxRequestAttempts = 4;
 constexpr core::milliseconds defaultRetryPause { 200 };
 constexpr core::milliseconds maxRetryPause { 1000 };
 
 /// One request of the plan.
 struct planned_request {
     std::uint32_t conversation = 0;
-    std::uint32_t returns = 0;
+    std::uint32_t turn = 0;
 };
 
 std::vector<planned_request> makePlan(const load_options& options)
 {
     std::mt19937_64 random(options.seed);
     std::uniform_int_distribution<std::uint32_t> draw(0, options.conversations - 1);
-    std::vector<std::uint32_t> returns(options.conversations, 0);
+    std::vector<std::uint32_t> turns(options.conversations, 0);
     std::vector<planned_request> plan;
     for (std::uint32_t index = 0; index < options.requests; ++index) {
         std::uint32_t conversation = draw(random);
-        plan.push_back({ conversation, returns[conversation]++ });
+        plan.push_back({ conversation, turns[conversation]++ });
     }
     return plan;
 }
@@ -71,7 +71,7 @@
     {
         std::vector<std::thread> threads;
         for (std::uint32_t index = 0; index < m_options.concurrency; ++index)
-            threads.emplace_back([this] { work(); });
+            threads.emplace_back([this] { runWorker(); });
         for (auto& thread : threads)
             thread.join();
         m_report.requests = m_options.requests;
@@ -86,66 +86,66 @@
     }
 
 private:
-    void work()
+    void runWorker()
     {
         while (true) {
             std::size_t index = m_next.fetch_add(1);
             if (index >= m_plan.size())
                 return;
-            runOne(index);
+            sendPlanned(index);
         }
     }
 
-    void runOne(std::size_t index)
+    void sendPlanned(std::size_t index)
     {
         const auto& planned = m_plan[index];
-        std::string prompt = conversationPrompt(m_options, planned.conversation, planned.returns);
+        std::string prompt = conversationPrompt(m_options, planned.conversation, planned.turn);
         call_request request;
         request.path = "/v1/completions";
         request.apiKey = m_options.apiKey;
         request.body = completionBody(m_options.model, prompt, m_options.maxTokens, true);
-        call_answer answer;
-        for (int attempt = 0; attempt < (m_options.retry ? maxTries : 1); ++attempt) {
+        call_response response;
+        for (int attempt = 0; attempt < (m_options.retry ? maxRequestAttempts : 1); ++attempt) {
             request.address = m_options.entries[(index + attempt) % m_options.entries.size()];
-            answer = call(request);
-            if (answer.ok())
+            response = call(request);
+            if (response.ok())
                 break;
-            pauseBeforeRetry(answer);
+            pauseBeforeRetry(response);
         }
-        note(prompt, answer);
+        recordResponse(prompt, response);
     }
 
-    void pauseBeforeRetry(const call_answer& answer)
+    void pauseBeforeRetry(const call_response& response)
     {
         if (!m_options.retry)
             return;
         core::milliseconds pause = defaultRetryPause;
-        auto found = answer.headers.find("Retry-After");
-        if (found != answer.headers.end())
+        auto found = response.headers.find("Retry-After");
+        if (found != response.headers.end())
             pause = std::min(core::milliseconds(std::stoll(found->second) * 1000), maxRetryPause);
         std::this_thread::sleep_for(pause);
     }
 
-    void note(const std::string& prompt, const call_answer& answer)
+    void recordResponse(const std::string& prompt, const call_response& response)
     {
         std::lock_guard lock(m_mutex);
-        bool whole = answer.ok() && answer.tokens == m_options.maxTokens;
-        if (whole) {
+        bool complete = response.ok() && response.tokens == m_options.maxTokens;
+        if (complete) {
             ++m_report.served;
-            m_firstTokens.push_back(static_cast<double>(answer.firstToken.count()));
-            m_report.promptTokens += answer.promptTokens;
-            m_report.cachedTokens += answer.cachedTokens;
-            auto domain = answer.headers.find("X-Plumfold-Failure-Domain");
-            ++m_report.servedByDomain[domain == answer.headers.end() ? "" : domain->second];
-        } else if (!answer.errorType.empty()) {
+            m_firstTokens.push_back(static_cast<double>(response.firstToken.count()));
+            m_report.promptTokens += response.promptTokens;
+            m_report.cachedTokens += response.cachedTokens;
+            auto domain = response.headers.find("X-Plumfold-Failure-Domain");
+            ++m_report.servedByDomain[domain == response.headers.end() ? "" : domain->second];
+        } else if (!response.errorType.empty()) {
             ++m_report.refused;
         } else {
             ++m_report.failed;
         }
         if (m_record.is_open()) {
-            nlohmann::json line { { "prompt", prompt }, { "text", answer.text }, { "tokens", answer.tokens },
-                { "ok", whole }, { "status", answer.status },
-                { "error", answer.errorType + answer.streamError }, { "failure", answer.failure } };
+            nlohmann::json line { { "prompt", prompt }, { "text", response.text },
+                { "tokens", response.tokens }, { "ok", complete }, { "status", response.status },
+                { "error", response.errorType + response.streamError }, { "failure", response.failure } };
             m_record << line.dump() << '\n';
         }
     }
@@ -168,9 +168,9 @@
     return 1.0 - static_cast<double>(cachedTokens) / static_cast<double>(promptTokens);
 }
 
-std::string conversationPrompt(const load_options& options, std::uint32_t conversation, std::uint32_t returns)
+std::string conversationPrompt(const load_options& options, std::uint32_t conversation, std::uint32_t turn)
 {
-    std::size_t size = options.firstPromptBytes + std::size_t(returns) * options.growthBytes;
+    std::size_t size = options.firstPromptBytes + std::size_t(turn) * options.growthBytes;
     std::mt19937_64 random(options.seed * 1'000'003 + conversation);
     std::string prompt = "conversation " + std::to_string(conversation) + ' ';
     while (prompt.size() < size)
--- a/packages/plumfold/src/plumfold_operator_client.cpp
+++ b/packages/plumfold/src/plumfold_operator_client.cpp
@@ -20,7 +20,8 @@
 {
 }
 
-absl::Status operator_client::callOne(const std::string& address, const operator_call& call, bool& accepted)
+absl::Status operator_client::callControlVm(
+    const std::string& address, const operator_call& call, bool& accepted)
 {
     try {
         accepted = m_rpc.run([&]() -> kj::Promise<bool> {
@@ -48,7 +49,7 @@
     while (true) {
         for (const auto& address : m_options.control) {
             bool accepted = false;
-            last = callOne(address, call, accepted);
+            last = callControlVm(address, call, accepted);
             if (last.ok() && accepted)
                 return last;
             if (absl::IsFailedPrecondition(last))
@@ -68,7 +69,7 @@
 absl::Status operator_client::form(const std::string& address)
 {
     bool accepted = false;
-    auto status = callOne(
+    auto status = callControlVm(
         address,
         [](wire::Operator::Client client) {
             return client.formRequest().send().then(
@@ -178,7 +179,7 @@
         control_state_report report;
         report.address = address;
         bool accepted = false;
-        auto status = callOne(
+        auto status = callControlVm(
             address,
             [&](wire::Operator::Client client) {
                 return client.statusRequest().send().then([&](auto response) {
--- a/packages/plumfold/src/plumfold_operator_client.hpp
+++ b/packages/plumfold/src/plumfold_operator_client.hpp
@@ -72,7 +72,7 @@
     /// Calls control VMs in turn until one accepts.
     /// @param call resolves to whether the control VM accepted.
     absl::Status callLeader(const operator_call& call);
-    absl::Status callOne(const std::string& address, const operator_call& call, bool& accepted);
+    absl::Status callControlVm(const std::string& address, const operator_call& call, bool& accepted);
 
     operator_client_options m_options;
     wire::rpc_thread m_rpc;
--- a/packages/plumfold/src/plumfold_status_commands.cpp
+++ b/packages/plumfold/src/plumfold_status_commands.cpp
@@ -135,8 +135,8 @@
     std::string line;
     while (std::getline(in, line)) {
         runtime::span next = runtime::fromOtlpLine(line);
-        bool wanted = next.name == "entry" && (request.empty() || next.attributes["request"] == request);
-        if (wanted)
+        bool matches = next.name == "entry" && (request.empty() || next.attributes["request"] == request);
+        if (matches)
             roots.push_back(next);
         children.emplace(next.parentSpanId, std::move(next));
     }
--- a/packages/plumfoldd/src/plumfoldd_main.cpp
+++ b/packages/plumfoldd/src/plumfoldd_main.cpp
@@ -21,15 +21,15 @@
 using plumfold::runtime::log_event;
 using plumfold::runtime::log_level;
 
-constexpr int exitSettings = 2;
-constexpr int exitStart = 3;
-constexpr int exitDisk = 4;
+constexpr int exitInvalidSettings = 2;
+constexpr int exitStartFailed = 3;
+constexpr int exitDiskFailed = 4;
 
 /// A control VM whose disk fails must not go on: what it acknowledges would not last.
 void stopOnDiskFailure(const std::string& message)
 {
     log_event("disk_failed", log_level::error).with("message", message);
-    std::_Exit(exitDisk);
+    std::_Exit(exitDiskFailed);
 }
 
 /// Takes what may change while the process runs: the control VMs to start from.
@@ -58,7 +58,7 @@
             log_event("start_failed", log_level::error)
                 .with("message", std::string(started.status().message()));
             std::cerr << started.status().message() << '\n';
-            return exitStart;
+            return exitStartFailed;
         }
         control = std::move(*started);
     }
@@ -106,7 +106,7 @@
         status = plumfold::runtime::checkAddresses(*settings, file);
     if (!status.ok()) {
         std::cerr << status.message() << '\n';
-        return exitSettings;
+        return exitInvalidSettings;
     }
     plumfold::runtime::openLog(settings->process.logFile, settings->process.name);
     try {
@@ -116,5 +116,5 @@
     } catch (const kj::Exception& error) {
         std::cerr << "cannot start: " << error.getDescription().cStr() << '\n';
     }
-    return exitStart;
+    return exitStartFailed;
 }
--- a/packages/runtime/src/plumfold_log.cpp
+++ b/packages/runtime/src/plumfold_log.cpp
@@ -52,7 +52,7 @@
 std::atomic<std::uint64_t> droppedLines { 0 };
 
 /// A reader of standard output that does not keep up costs lines, never requests.
-class count_and_drop {
+class drop_and_count_on_overflow {
 public:
     // The library calls these by its own names. NOLINTBEGIN(readability-identifier-naming)
     template <class Lock> bool on_overflow(const boost::log::record_view&, Lock&)
@@ -66,8 +66,8 @@
 };
 
 using console_sink = boost::log::sinks::asynchronous_sink<boost::log::sinks::text_ostream_backend,
-    boost::log::sinks::bounded_fifo_queue<maxQueuedLines, count_and_drop>>;
-boost::shared_ptr<console_sink> openConsole;
+    boost::log::sinks::bounded_fifo_queue<maxQueuedLines, drop_and_count_on_overflow>>;
+boost::shared_ptr<console_sink> consoleSink;
 
 } // namespace
 
@@ -110,7 +110,7 @@
         auto sink = boost::make_shared<console_sink>(backend);
         sink->set_formatter(format);
         boost::log::core::get()->add_sink(sink);
-        openConsole = sink;
+        consoleSink = sink;
     } else
         boost::log::add_file_log(keywords::file_name = file, keywords::open_mode = std::ios::app,
             keywords::format = format, keywords::auto_flush = true);
@@ -118,12 +118,12 @@
 
 void closeLog()
 {
-    if (!openConsole)
+    if (!consoleSink)
         return;
-    boost::log::core::get()->remove_sink(openConsole);
-    openConsole->stop();
-    openConsole->flush();
-    openConsole.reset();
+    boost::log::core::get()->remove_sink(consoleSink);
+    consoleSink->stop();
+    consoleSink->flush();
+    consoleSink.reset();
 }
 
 } // namespace plumfold::runtime
--- a/packages/runtime/src/plumfold_metrics.cpp
+++ b/packages/runtime/src/plumfold_metrics.cpp
@@ -50,10 +50,10 @@
 void metrics::observe(const std::string& name, double value)
 {
     std::lock_guard lock(m_mutex);
-    auto& place = m_summaries[name];
-    if (!place)
-        place = std::make_unique<summary>();
-    place->values(value);
+    auto& entry = m_summaries[name];
+    if (!entry)
+        entry = std::make_unique<summary>();
+    entry->values(value);
 }
 
 std::string metrics::prometheusText() const
--- a/packages/runtime/src/plumfold_settings.cpp
+++ b/packages/runtime/src/plumfold_settings.cpp
@@ -23,7 +23,7 @@
         std::vector<std::string> Owner::*, std::vector<peer_setting> Owner::*,
         std::vector<operator_setting> Owner::*>;
     const char* name;
-    member place;
+    member memberPointer;
     const char* allowed; ///< What is allowed, for messages and the reference.
     bool required = false;
     bool isAddress = false;
@@ -168,7 +168,7 @@
     void readObject(const json& in, const std::string& path, const fields<Owner>& allowed, Owner& out)
     {
         if (!in.is_object()) {
-            fault(path, "must be an object");
+            addError(path, "must be an object");
             return;
         }
         for (const auto& item : in.items()) {
@@ -176,7 +176,7 @@
             bool known
                 = std::any_of(allowed.begin(), allowed.end(), [&](const auto& f) { return key == f.name; });
             if (!known)
-                fault(absl::StrCat(path, "/", key),
+                addError(absl::StrCat(path, "/", key),
                     absl::StrCat("is not a known key; allowed: ", namesOf(allowed)));
         }
         for (const auto& field : allowed) {
@@ -184,23 +184,24 @@
             std::string fieldPath = absl::StrCat(path, "/", field.name);
             if (found == in.end()) {
                 if (field.required)
-                    fault(fieldPath, absl::StrCat("is missing; allowed: ", field.allowed));
+                    addError(fieldPath, absl::StrCat("is missing; allowed: ", field.allowed));
                 continue;
             }
-            std::visit([&](auto member) { readValue(*found, fieldPath, field, out.*member); }, field.place);
+            std::visit(
+                [&](auto member) { readValue(*found, fieldPath, field, out.*member); }, field.memberPointer);
         }
     }
 
-    void fault(const std::string& path, const std::string& what)
+    void addError(const std::string& path, const std::string& what)
     {
-        m_faults.push_back(absl::StrCat(m_file, ": ", path, " ", what));
+        m_errors.push_back(absl::StrCat(m_file, ": ", path, " ", what));
     }
 
     absl::Status status() const
     {
-        if (m_faults.empty())
+        if (m_errors.empty())
             return absl::OkStatus();
-        return absl::InvalidArgumentError(absl::StrJoin(m_faults, "\n"));
+        return absl::InvalidArgumentError(absl::StrJoin(m_errors, "\n"));
     }
 
 private:
@@ -211,7 +212,7 @@
 
     template <class Field> void wrongType(const std::string& path, const Field& field)
     {
-        fault(path, absl::StrCat("has the wrong type; allowed: ", field.allowed));
+        addError(path, absl::StrCat("has the wrong type; allowed: ", field.allowed));
     }
 
     template <class Field>
@@ -221,7 +222,7 @@
             return wrongType(path, field);
         out = in.get<std::string>();
         if (field.required && out.empty())
-            fault(path, absl::StrCat("is empty; allowed: ", field.allowed));
+            addError(path, absl::StrCat("is empty; allowed: ", field.allowed));
         if (field.isAddress && (field.required || !out.empty()))
             checkAddress(out, path);
     }
@@ -233,7 +234,7 @@
             return wrongType(path, field);
         out = in.get<std::uint64_t>();
         if (out < field.minimum || out > field.maximum)
-            fault(path, absl::StrCat("is out of range; allowed: ", field.allowed));
+            addError(path, absl::StrCat("is out of range; allowed: ", field.allowed));
     }
 
     template <class Field>
@@ -255,7 +256,7 @@
             std::string value;
             readValue(in[index], elementPath, field, value);
             if (!seen.insert(value).second)
-                fault(elementPath, "is a duplicate; each may stand once");
+                addError(elementPath, "is a duplicate; each may stand once");
             out.push_back(std::move(value));
         }
     }
@@ -286,7 +287,7 @@
             Element element;
             readObject(in[index], elementPath, allowed, element);
             if (!seen.insert(element.name).second)
-                fault(elementPath + "/name", "is a duplicate; each name may stand once");
+                addError(elementPath + "/name", "is a duplicate; each name may stand once");
             out.push_back(std::move(element));
         }
     }
@@ -302,11 +303,11 @@
         } catch (const Poco::Exception&) {
             // told below
         }
-        fault(path, "is not an address; allowed: ip:port with an IP number and a port from 1 to 65535");
+        addError(path, "is not an address; allowed: ip:port with an IP number and a port from 1 to 65535");
     }
 
     std::string m_file;
-    std::vector<std::string> m_faults;
+    std::vector<std::string> m_errors;
 };
 
 void checkDuplicateAddresses(const settings& checked, settings_reader& reader)
@@ -314,7 +315,7 @@
     std::set<std::string> seen;
     auto check = [&](const std::string& address, const std::string& path) {
         if (!address.empty() && !seen.insert(address).second)
-            reader.fault(path, "is a duplicate; each listening address may stand once");
+            reader.addError(path, "is a duplicate; each listening address may stand once");
     };
     if (checked.entry) {
         check(checked.entry->callerAddress, "/entry/callerAddress");
@@ -383,31 +384,31 @@
     }
     settings_reader reader(file);
     if (!in.is_object()) {
-        reader.fault("/", "must be an object with the keys process, entry, control, forwarding, store");
+        reader.addError("/", "must be an object with the keys process, entry, control, forwarding, store");
         return reader.status();
     }
     for (const auto& [key, value] : in.items()) {
         bool known
             = key == "process" || key == "entry" || key == "control" || key == "forwarding" || key == "store";
         if (!known)
-            reader.fault(
+            reader.addError(
                 "/" + key, "is not a known key; allowed: process, entry, control, forwarding, store");
     }
     settings out;
     if (in.contains("process"))
         reader.readObject(in["process"], "/process", processFields(), out.process);
     else
-        reader.fault("/process", "is missing; every process needs it");
+        reader.addError("/process", "is missing; every process needs it");
     readRole(in, "entry", entryFields(), out.entry, reader);
     readRole(in, "control", controlFields(), out.control, reader);
     readRole(in, "forwarding", forwardingFields(), out.forwarding, reader);
     readRole(in, "store", storeFields(), out.store, reader);
     if (!out.entry && !out.control && !out.forwarding && !out.store)
-        reader.fault("/", "sets no role; set at least one of entry, control, forwarding, store");
+        reader.addError("/", "sets no role; set at least one of entry, control, forwarding, store");
     if (out.control && !out.control->seeds.empty() && out.control->rpcPort == 0)
-        reader.fault("/control/rpcPort", "is missing; with seeds it must be set");
+        reader.addError("/control/rpcPort", "is missing; with seeds it must be set");
     if (out.control && out.process.dataFolder.empty())
-        reader.fault("/process/dataFolder", "is missing; the control role needs a folder on a disk");
+        reader.addError("/process/dataFolder", "is missing; the control role needs a folder on a disk");
     checkDuplicateAddresses(out, reader);
     if (auto status = reader.status(); !status.ok())
         return status;
@@ -451,7 +452,7 @@
             Poco::Net::ServerSocket probe;
             probe.bind(Poco::Net::SocketAddress(address), true);
         } catch (const Poco::Exception& error) {
-            reader.fault(path,
+            reader.addError(path,
                 absl::StrCat("cannot be bound (", error.displayText(),
                     "); give a free port on an address of this VM"));
         }
--- a/packages/runtime/src/plumfold_trace.cpp
+++ b/packages/runtime/src/plumfold_trace.cpp
@@ -53,7 +53,7 @@
     nlohmann::json attributes = nlohmann::json::array();
     for (const auto& [key, value] : finished.attributes)
         attributes.push_back(attribute(key, value));
-    nlohmann::json one {
+    nlohmann::json spanJson {
         { "traceId", finished.context.traceId },
         { "spanId", finished.context.spanId },
         { "parentSpanId", finished.parentSpanId },
@@ -65,7 +65,7 @@
     };
     nlohmann::json resource { { "attributes",
         { attribute("service.name", "plumfold"), attribute("host.name", process) } } };
-    nlohmann::json scope { { "spans", nlohmann::json::array({ std::move(one) }) } };
+    nlohmann::json scope { { "spans", nlohmann::json::array({ std::move(spanJson) }) } };
     nlohmann::json block { { "resource", resource },
         { "scopeSpans", nlohmann::json::array({ std::move(scope) }) } };
     return nlohmann::json { { "resourceSpans", nlohmann::json::array({ std::move(block) }) } }.dump();
@@ -75,14 +75,14 @@
 {
     auto json = nlohmann::json::parse(line);
     const auto& block = json.at("resourceSpans").at(0);
-    const auto& one = block.at("scopeSpans").at(0).at("spans").at(0);
+    const auto& spanJson = block.at("scopeSpans").at(0).at("spans").at(0);
     span result;
-    result.context = { one.at("traceId"), one.at("spanId") };
-    result.parentSpanId = one.at("parentSpanId");
-    result.name = one.at("name");
-    result.startNanoseconds = std::stoull(one.at("startTimeUnixNano").get<std::string>());
-    result.endNanoseconds = std::stoull(one.at("endTimeUnixNano").get<std::string>());
-    for (const auto& attribute : one.at("attributes"))
+    result.context = { spanJson.at("traceId"), spanJson.at("spanId") };
+    result.parentSpanId = spanJson.at("parentSpanId");
+    result.name = spanJson.at("name");
+    result.startNanoseconds = std::stoull(spanJson.at("startTimeUnixNano").get<std::string>());
+    result.endNanoseconds = std::stoull(spanJson.at("endTimeUnixNano").get<std::string>());
+    for (const auto& attribute : spanJson.at("attributes"))
         result.attributes[attribute.at("key")] = attribute.at("value").at("stringValue");
     return result;
 }
--- a/packages/wire/include/plumfold/wire/plumfold_rpc_thread.hpp
+++ b/packages/wire/include/plumfold/wire/plumfold_rpc_thread.hpp
@@ -39,13 +39,13 @@
     kj::Timer& timer() { return m_io->provider->getTimer(); }
 
 private:
-    class error_sink;
-    struct posted;
+    class ignored_task_errors;
+    struct posted_functions;
 
     void loop(std::promise<void>& ready);
     void drainPosted();
 
-    std::unique_ptr<posted> m_posted;
+    std::unique_ptr<posted_functions> m_posted;
     kj::AsyncIoContext* m_io = nullptr;
     kj::TaskSet* m_tasks = nullptr;
     kj::Own<const kj::Executor> m_executor;
--- a/packages/wire/src/plumfold_rpc_thread.cpp
+++ b/packages/wire/src/plumfold_rpc_thread.cpp
@@ -7,12 +7,12 @@
 
 namespace plumfold::wire {
 
-class rpc_thread::error_sink : public kj::TaskSet::ErrorHandler {
+class rpc_thread::ignored_task_errors : public kj::TaskSet::ErrorHandler {
 public:
     void taskFailed(kj::Exception&&) override { }
 };
 
-struct rpc_thread::posted {
+struct rpc_thread::posted_functions {
     std::mutex mutex;
     std::deque<std::function<void()>> functions;
     kj::Maybe<kj::Own<kj::CrossThreadPromiseFulfiller<void>>> wake;
@@ -20,7 +20,7 @@
 };
 
 rpc_thread::rpc_thread()
-    : m_posted(std::make_unique<posted>())
+    : m_posted(std::make_unique<posted_functions>())
 {
     std::promise<void> ready;
     auto isReady = ready.get_future();
@@ -37,8 +37,8 @@
 void rpc_thread::loop(std::promise<void>& ready)
 {
     kj::AsyncIoContext io = kj::setupAsyncIo();
-    error_sink sink;
-    kj::TaskSet tasks(sink);
+    ignored_task_errors errorHandler;
+    kj::TaskSet tasks(errorHandler);
     m_io = &io;
     m_tasks = &tasks;
     m_executor = kj::getCurrentThreadExecutor().addRef();
--- a/tests/process/plumfold_answers_tests.cpp
+++ b/tests/process/plumfold_answers_tests.cpp
@@ -63,7 +63,7 @@
 
 TEST_CASE_METHOD(two_domains, "Concurrent callers receive their own responses, streamed or not", "[answers]")
 {
-    std::vector<std::future<client::call_answer>> answers;
+    std::vector<std::future<client::call_response>> answers;
     for (int index = 0; index < 24; ++index) {
         answers.push_back(std::async(std::launch::async, [&, index] {
             return complete(1 + index % 2, prompt + std::to_string(index), 20, index % 3 != 0);
@@ -99,7 +99,7 @@
     request.path = "/v1/completions";
     request.apiKey = apiKey;
     request.body = client::completionBody("base", prompt, 1000, true);
-    request.leaveAfterTokens = 3;
+    request.disconnectAfterTokens = 3;
     client::call(request);
     CHECK(eventually([&] {
         return askTarget("e1", "/counts").value("running", 1) == 0
--- a/tests/process/plumfold_at_most_once_tests.cpp
+++ b/tests/process/plumfold_at_most_once_tests.cpp
@@ -66,7 +66,7 @@
     order_system, "Concurrent orders with one key through both entries run once", "[at-most-once]")
 {
     setFaultsOnBoth({ { "delay_ms", 300 } });
-    std::vector<std::future<client::call_answer>> answers;
+    std::vector<std::future<client::call_response>> answers;
     for (int index = 0; index < 8; ++index)
         answers.push_back(
             std::async(std::launch::async, [&, index] { return order(1 + index % 2, "race"); }));
--- a/tests/process/plumfold_service_moves_tests.cpp
+++ b/tests/process/plumfold_service_moves_tests.cpp
@@ -178,7 +178,7 @@
         background_load warming(*this, { 1, 2 }, 6);
         eventually([&] { return runsOf("e1") > 20 && runsOf("e2") > 20; });
     }
-    std::vector<std::future<client::call_answer>> streams;
+    std::vector<std::future<client::call_response>> streams;
     for (int index = 0; index < 4; ++index)
         streams.push_back(std::async(std::launch::async, [&] { return complete(1, "long", tokens); }));
     REQUIRE(eventually([&] { return readiness(1).value("running", 0) == 4; }));
--- a/tests/process/support/plumfold_test_system.cpp
+++ b/tests/process/support/plumfold_test_system.cpp
@@ -221,7 +221,7 @@
 
 // ---------------------------------------------------------------- callers and targets
 
-client::call_answer test_system::complete(int entry, const std::string& prompt, std::uint32_t tokens,
+client::call_response test_system::complete(int entry, const std::string& prompt, std::uint32_t tokens,
     bool stream, std::map<std::string, std::string> headers, const std::string& key)
 {
     client::call_request request;
@@ -233,8 +233,8 @@
     return client::call(request);
 }
 
-client::call_answer test_system::order(int entry, const std::string& idempotencyKey, const std::string& body,
-    std::map<std::string, std::string> headers)
+client::call_response test_system::order(int entry, const std::string& idempotencyKey,
+    const std::string& body, std::map<std::string, std::string> headers)
 {
     client::call_request request;
     request.address = callerAddress(entry);
--- a/tests/process/support/plumfold_test_system.hpp
+++ b/tests/process/support/plumfold_test_system.hpp
@@ -50,9 +50,9 @@
     int leader();
 
     std::string callerAddress(int entry) const { return address(20 + entry, 8000); }
-    client::call_answer complete(int entry, const std::string& prompt, std::uint32_t tokens = 8,
+    client::call_response complete(int entry, const std::string& prompt, std::uint32_t tokens = 8,
         bool stream = true, std::map<std::string, std::string> headers = {}, const std::string& key = apiKey);
-    client::call_answer order(int entry, const std::string& idempotencyKey, const std::string& body = "{}",
+    client::call_response order(int entry, const std::string& idempotencyKey, const std::string& body = "{}",
         std::map<std::string, std::string> headers = {});
     nlohmann::json readiness(int entry);
     void waitForTargets(int entry, std::size_t count);
--- a/tests/runtime/plumfold_settings_tests.cpp
+++ b/tests/runtime/plumfold_settings_tests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::string minimal(const std::string& store)
+std::string minimalSettings(const std::string& store)
 {
     return R"({ /* one */ "process": { "name": "s", "failureDomain": "d", "clusterSecret": "x" }, // two
               "store": { "address": "127.0.0.1:1", "blockAddress": "127.0.0.1:2")"
@@ -30,7 +30,7 @@
 
 TEST_CASE("Settings are JSON with comments of both kinds", "[settings]")
 {
-    auto settings = parseSettings(minimal(""), "f");
+    auto settings = parseSettings(minimalSettings(""), "f");
     REQUIRE(settings.ok());
     CHECK(settings->store->address == "127.0.0.1:1");
     CHECK_FALSE(settings->entry);
@@ -38,13 +38,13 @@
 
 TEST_CASE("Each fault names the file, the path of the key and what is allowed", "[settings]")
 {
-    auto [text, path, told] = GENERATE(table<std::string, std::string, std::string>({
-        { minimal(R"(, "colour": 1)"), "f: /store/colour", "not a known key" },
-        { minimal(R"(, "memoryBytes": "x")"), "f: /store/memoryBytes", "wrong type" },
-        { minimal(R"(, "memoryBytes": 1)"), "f: /store/memoryBytes", "out of range" },
-        { minimal(R"(, "memoryBytes": -1)"), "f: /store/memoryBytes", "wrong type" },
-        { minimal(R"(, "blockAddress": "127.0.0.1:1")"), "f: /store/blockAddress", "duplicate" },
-        { minimal(R"(, "blockAddress": "host:1")"), "f: /store/blockAddress", "ip:port" },
+    auto [text, path, expected] = GENERATE(table<std::string, std::string, std::string>({
+        { minimalSettings(R"(, "colour": 1)"), "f: /store/colour", "not a known key" },
+        { minimalSettings(R"(, "memoryBytes": "x")"), "f: /store/memoryBytes", "wrong type" },
+        { minimalSettings(R"(, "memoryBytes": 1)"), "f: /store/memoryBytes", "out of range" },
+        { minimalSettings(R"(, "memoryBytes": -1)"), "f: /store/memoryBytes", "wrong type" },
+        { minimalSettings(R"(, "blockAddress": "127.0.0.1:1")"), "f: /store/blockAddress", "duplicate" },
+        { minimalSettings(R"(, "blockAddress": "host:1")"), "f: /store/blockAddress", "ip:port" },
         { R"({ "process": { "name": "" } })", "f: /process/name", "is empty" },
         { R"({ "process": { "name": "" } })", "f: /process/clusterSecret", "is missing" },
         { R"({ "process": { "name": "" } })", "f: /", "no role" },
@@ -54,7 +54,7 @@
     INFO(text);
     auto settings = parseSettings(text, "f");
     REQUIRE_FALSE(settings.ok());
-    CHECK_THAT(std::string(settings.status().message()), Catch::Contains(path) && Catch::Contains(told));
+    CHECK_THAT(std::string(settings.status().message()), Catch::Contains(path) && Catch::Contains(expected));
 }
 
 TEST_CASE("The examples are valid settings", "[settings][examples]")
@@ -87,7 +87,7 @@
 {
     rc::prop("any text", [](const std::string& text) { RC_ASSERT(!parseSettings(text, "f").ok()); });
     rc::prop("a valid text with one byte changed", [] {
-        std::string text = minimal(R"(, "memoryBytes": 2000000)");
+        std::string text = minimalSettings(R"(, "memoryBytes": 2000000)");
         text[*rc::gen::inRange<std::size_t>(0, text.size())] = *rc::gen::arbitrary<char>();
         auto settings = parseSettings(text, "f");
         RC_ASSERT(settings.ok() || !settings.status().message().empty());
