--- a/packages/wire/include/plumfold/wire/plumfold_convert.hpp
+++ b/packages/wire/include/plumfold/wire/plumfold_convert.hpp
@@ -15,8 +15,8 @@
 #include <string>
 #include <string_view>
 
-/// Conversions between the core's types and the schema. Readers check what they read; a value that does not
-/// fit throws kj::Exception, which the callers of a call turn into a failed call.
+/// Conversions between the core types and the Cap'n Proto schema. read() validates its input and throws
+/// kj::Exception for an invalid value, for example an enumerator out of range; an RPC then fails with it.
 namespace plumfold::wire {
 
 void write(Record::Builder out, const core::record& value);
@@ -115,10 +115,11 @@
 void write(WalRecord::Builder out, const wal_record& value);
 wal_record read(WalRecord::Reader in);
 
-/// Encodes a value of the schema as bytes for a file or a log entry.
+/// Serializes a core value as a message of type Schema, for a file or a log entry.
 template <class Schema, class Value> std::string encode(const Value& value);
 
-/// Decodes what encode() made.
+/// Deserializes bytes that encode() returned.
+/// @throws kj::Exception when the bytes are malformed or hold an invalid value.
 template <class Schema> auto decode(std::string_view bytes);
 
 } // namespace plumfold::wire
--- a/packages/wire/include/plumfold/wire/plumfold_encode.hpp
+++ b/packages/wire/include/plumfold/wire/plumfold_encode.hpp
@@ -20,11 +20,11 @@
 
 template <class Schema> auto decode(std::string_view bytes)
 {
-    // The bytes of a log entry or file need not be aligned to words.
+    // The bytes of a log entry or file may be unaligned; the reader needs whole, aligned words.
     auto words = kj::heapArray<capnp::word>((bytes.size() + sizeof(capnp::word) - 1) / sizeof(capnp::word));
     std::memcpy(words.begin(), bytes.data(), bytes.size());
     capnp::ReaderOptions options;
-    options.traversalLimitInWords = UINT64_MAX; // our own files; calls have the library's limit
+    options.traversalLimitInWords = UINT64_MAX; // trusted local data; RPCs keep the library's limit
     capnp::FlatArrayMessageReader message(words, options);
     return read(message.getRoot<Schema>());
 }
--- a/packages/wire/include/plumfold/wire/plumfold_rpc_connection.hpp
+++ b/packages/wire/include/plumfold/wire/plumfold_rpc_connection.hpp
@@ -9,16 +9,18 @@
 
 namespace plumfold::wire {
 
-/// One connection to another process. Lives on an rpc_thread's loop.
+/// A Cap'n Proto RPC connection to another process. Use and destroy it on the event loop of its rpc_thread.
 class rpc_connection {
 public:
     /// @param address ip:port
-    /// @return the connection, or a failure when it is not up within the timeout.
+    /// @param timeout for resolving the address and connecting.
+    /// @return the connection; rejected when it is not established within the timeout.
     static kj::Promise<kj::Own<rpc_connection>> connect(
         rpc_thread& thread, const std::string& address, std::chrono::milliseconds timeout);
 
     explicit rpc_connection(kj::Own<kj::AsyncIoStream> stream);
 
+    /// @return the interface that the other process serves.
     template <class Interface> typename Interface::Client bootstrap()
     {
         return m_client.bootstrap().castAs<Interface>();
@@ -29,14 +31,16 @@
     capnp::TwoPartyClient m_client;
 };
 
-/// Gives a promise a deadline, since the library's calls have none.
+/// Rejects a promise that is not fulfilled within the timeout; Cap'n Proto calls have no timeout of their
+/// own.
 template <class T>
 kj::Promise<T> withTimeout(rpc_thread& thread, kj::Promise<T> promise, std::chrono::milliseconds timeout)
 {
     return thread.timer().timeoutAfter(timeout.count() * kj::MILLISECONDS, kj::mv(promise));
 }
 
-/// Promises that run on for an owner and end with it. Lives on an rpc_thread's loop.
+/// Background promises of one owner, cancelled when it is destroyed. Use it on the event loop of an
+/// rpc_thread.
 class task_group : private kj::TaskSet::ErrorHandler {
 public:
     task_group()
@@ -44,7 +48,7 @@
     {
     }
 
-    /// Lets a promise run to its end; a failure is dropped.
+    /// Runs a promise in the background and ignores its failure.
     void add(kj::Promise<void> promise) { m_tasks.add(kj::mv(promise)); }
 
 private:
@@ -53,9 +57,13 @@
     kj::TaskSet m_tasks;
 };
 
-/// Serves an interface on an address until it is destroyed. Lives on an rpc_thread's loop.
+/// Serves an interface on an address until destroyed. Use and destroy it on the event loop of an rpc_thread.
 class rpc_listener {
 public:
+    /// @param address ip:port to listen on.
+    /// @param bootstrap the interface that each connection gets.
+    /// @throws kj::Exception when the IP address is malformed or the address cannot be bound.
+    /// @throws std::logic_error when the port is not a number.
     rpc_listener(rpc_thread& thread, const std::string& address, capnp::Capability::Client bootstrap);
 
 private:
--- a/packages/wire/include/plumfold/wire/plumfold_rpc_thread.hpp
+++ b/packages/wire/include/plumfold/wire/plumfold_rpc_thread.hpp
@@ -12,7 +12,7 @@
 
 namespace plumfold::wire {
 
-/// A duty thread that runs one KJ event loop. All capabilities of that loop live and die on it.
+/// A thread that runs one KJ event loop. Capabilities of that loop may only be used and destroyed on it.
 class rpc_thread {
 public:
     rpc_thread();
@@ -20,20 +20,22 @@
     rpc_thread(const rpc_thread&) = delete;
     rpc_thread& operator=(const rpc_thread&) = delete;
 
-    /// Runs a function on the loop and waits for its result; a promise is waited for as well.
-    /// @throws kj::Exception what the function throws, or when the loop has ended.
+    /// Runs a function on the loop and blocks until it returns; a returned promise is awaited.
+    /// @return the result of the function or promise.
+    /// @throws kj::Exception when the function or promise fails or the loop has ended.
     template <class Function> auto run(Function&& function)
     {
         return m_executor->executeSync(std::forward<Function>(function));
     }
 
-    /// Runs a function on the loop without waiting for it.
+    /// Queues a function for the loop and returns at once. It is dropped when the loop has ended; an
+    /// exception from it is logged.
     void post(std::function<void()> function);
 
-    /// Waits until everything posted so far has run.
+    /// Blocks until every function posted so far has run.
     void flush();
 
-    // The members below may only be used on the loop.
+    // These may only be called on the loop.
 
     kj::Network& network() { return m_io->provider->getNetwork(); }
     kj::Timer& timer() { return m_io->provider->getTimer(); }
--- a/packages/wire/src/plumfold_convert_raft.cpp
+++ b/packages/wire/src/plumfold_convert_raft.cpp
@@ -90,7 +90,7 @@
     out.setKind(static_cast<std::uint8_t>(value.kind));
     out.setFrom(value.from);
     out.setFromIncarnation(value.fromIncarnation);
-    // A join request carries the sender's address in place of a receiver.
+    // A join request has no receiver; the field holds the sender's address.
     out.setTo(value.kind == core::message_kind::join ? value.address : value.to);
     out.setTerm(value.term);
     out.setLogIndex(value.logIndex);
--- a/packages/wire/src/plumfold_convert_support.hpp
+++ b/packages/wire/src/plumfold_convert_support.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-/// What the conversions between the core's types and the schema share.
+/// Helpers of the conversions between the core types and the Cap'n Proto schema.
 namespace plumfold::wire {
 
 inline std::string text(capnp::Text::Reader in)
@@ -25,6 +25,8 @@
     return capnp::Data::Reader(reinterpret_cast<const kj::byte*>(bytes.data()), bytes.size());
 }
 
+/// @param count number of enumerators.
+/// @throws kj::Exception when the value is not an enumerator.
 template <class E> E checkedEnum(unsigned value, unsigned count)
 {
     KJ_REQUIRE(value < count, "a number outside its range", value, count);
