--- a/packages/runtime/include/plumfold/runtime/plumfold_bounded_ring.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_bounded_ring.hpp
@@ -8,7 +8,8 @@
 
 namespace plumfold::runtime {
 
-/// Joins two duty threads. Holds at most a fixed number of items.
+/// Bounded ring buffer that passes items between threads, guarded by a mutex. pop() waits for an
+/// item, tryPush() does not wait for space.
 template <class T> class bounded_ring {
 public:
     explicit bounded_ring(std::size_t capacity)
@@ -16,7 +17,7 @@
     {
     }
 
-    /// @return false when the ring is full or closed; the item is dropped then.
+    /// @return false when the ring is full or closed, which drops the item.
     bool tryPush(T item)
     {
         {
@@ -30,7 +31,8 @@
         return true;
     }
 
-    /// @return the oldest item, or nothing when none came within the timeout or the ring was closed.
+    /// Removes the oldest item; items that were pushed before close() can still be read.
+    /// @return the item, or nothing when none arrives within the timeout or the ring is closed and empty.
     std::optional<T> pop(std::chrono::steady_clock::duration timeout)
     {
         std::unique_lock lock(m_mutex);
@@ -44,7 +46,7 @@
         return item;
     }
 
-    /// Wakes the reader; later pushes are refused.
+    /// Wakes blocked readers; later pushes fail.
     void close()
     {
         {
--- a/packages/runtime/include/plumfold/runtime/plumfold_clock.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_clock.hpp
@@ -4,7 +4,7 @@
 
 namespace plumfold::runtime {
 
-/// @return monotonic time for the core.
+/// @return monotonic time, unaffected by changes of the wall clock.
 core::instant now();
 
 /// @return wall-clock time in Unix milliseconds.
--- a/packages/runtime/include/plumfold/runtime/plumfold_http.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_http.hpp
@@ -12,14 +12,14 @@
 
 namespace plumfold::runtime {
 
-/// Limits of an HTTP server.
+/// Connection limits and timeouts of an HTTP server.
 struct http_limits {
     int maxConnections = 64;
-    int headerTimeoutMs = 5'000; ///< For one read from the peer.
-    int keepAliveMs = 30'000;
+    int headerTimeoutMs = 5'000; ///< For each read from the socket.
+    int keepAliveMs = 30'000; ///< Idle time after which a connection is closed.
 };
 
-/// An HTTP server on one address, with a thread per connection.
+/// An HTTP server on one address with one thread per connection.
 class http_listener {
 public:
     /// @param address ip:port
@@ -28,9 +28,10 @@
         const http_limits& limits);
     ~http_listener();
 
-    /// Stops accepting connections; those that are open go on.
+    /// Stops accepting connections; open ones are still served.
     void stopAccepting();
 
+    /// @return the number of open connections.
     int connections() const;
 
 private:
@@ -38,15 +39,15 @@
     std::unique_ptr<Poco::Net::HTTPServer> m_server;
 };
 
-/// Reads a body up to a limit.
-/// @return the body, or nothing when it is longer.
+/// Reads a body to its end.
+/// @return the body, or nullptr when it is longer than maxBytes.
 std::unique_ptr<std::string> readBody(std::istream& in, std::size_t maxBytes);
 
-/// Limits every read and write of a socket. A session that is made from a connected socket does not pass its
-/// own timeouts on to it.
+/// Sets the timeout of each read and write on a socket. Needed because a Poco session that is constructed
+/// from a connected socket does not apply its own timeouts to it.
 void setIoTimeout(Poco::Net::StreamSocket& socket, core::milliseconds timeout);
 
-/// Splits ip:port.
+/// Parses ip:port.
 /// @throws Poco::Exception when it is malformed.
 Poco::Net::SocketAddress socketAddress(const std::string& address);
 
--- a/packages/runtime/include/plumfold/runtime/plumfold_log.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_log.hpp
@@ -8,8 +8,8 @@
 
 enum class log_level { info, warning, error };
 
-/// One event of the log: a line of key=value pairs, written when the object ends.
-/// Prompt texts, answers and secrets never go into it.
+/// One log event: a line of key=value pairs, written by the destructor.
+/// It must not hold prompts, generated text or secrets.
 class log_event {
 public:
     explicit log_event(std::string_view event, log_level level = log_level::info);
@@ -17,6 +17,7 @@
     log_event(const log_event&) = delete;
     log_event& operator=(const log_event&) = delete;
 
+    /// Appends a key=value pair; the value is quoted when it needs to be.
     log_event& with(std::string_view key, std::string_view value);
 
     template <std::integral T> log_event& with(std::string_view key, T value)
@@ -29,13 +30,13 @@
     log_level m_level;
 };
 
-/// Sets where the log goes. Call it once, before the first event.
-/// @param file an empty name stands for standard output, which is written by a thread of its own: when its
-/// reader does not keep up, lines are dropped, counted and the count is logged.
-/// @param process name of the process, part of every line.
+/// Opens the log. Call it once, before the first event.
+/// @param file log file, or empty for standard output. Standard output is written asynchronously: when its
+/// reader is too slow, lines are dropped and their number is logged.
+/// @param process name of the process, written on every line.
 void openLog(const std::string& file, const std::string& process);
 
-/// Writes what is still queued. Call it once, after the last event.
+/// Writes the queued lines. Call it once, after the last event.
 void closeLog();
 
 } // namespace plumfold::runtime
--- a/packages/runtime/include/plumfold/runtime/plumfold_metrics.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_metrics.hpp
@@ -8,7 +8,7 @@
 
 namespace plumfold::runtime {
 
-/// Counters and latency summaries of one process, exported as Prometheus text.
+/// Thread-safe counters, gauges and summaries of one process, exported in the Prometheus text format.
 class metrics {
 public:
     metrics();
@@ -21,9 +21,10 @@
     /// Sets a gauge.
     void set(const std::string& name, double value);
 
-    /// Adds a value to a summary with the quantiles 0.5, 0.95 and 0.99.
+    /// Adds a sample to a summary with the quantiles 0.5, 0.95 and 0.99.
     void observe(const std::string& name, double value);
 
+    /// @return all metrics in the Prometheus text format.
     std::string prometheusText() const;
 
 private:
--- a/packages/runtime/include/plumfold/runtime/plumfold_secrets.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_secrets.hpp
@@ -8,13 +8,16 @@
 /// @return the SHA-256 of a text as 64 lower-case hexadecimal digits.
 std::string sha256Hex(const std::string& text);
 
-/// @return whether two secrets are equal, in a time that does not depend on where they differ.
+/// Compares two secrets of equal length in constant time, which prevents timing attacks.
+/// @return whether they are equal.
 bool secretsMatch(const std::string& a, const std::string& b);
 
-/// @return 64 bits from the operating system's random source.
+/// @return 64 cryptographically secure random bits.
+/// @throws std::runtime_error when the random source fails.
 std::uint64_t randomNumber();
 
-/// @return `bytes` random bytes in lower-case hexadecimal.
+/// @return that many cryptographically secure random bytes in lower-case hexadecimal.
+/// @throws std::runtime_error when the random source fails.
 std::string randomHex(std::size_t bytes);
 
 } // namespace plumfold::runtime
--- a/packages/runtime/include/plumfold/runtime/plumfold_settings.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_settings.hpp
@@ -9,87 +9,94 @@
 
 namespace plumfold::runtime {
 
-/// Another process of the system.
+/// Name and address of another process.
 struct peer_setting {
     std::string name;
     std::string address; ///< ip:port
     bool operator==(const peer_setting&) const = default;
 };
 
-/// An operator who may call the control VMs.
+/// An operator with access to the control VMs.
 struct operator_setting {
     std::string name;
     std::string tokenHash; ///< SHA-256 of the token, hexadecimal.
-    bool mayChange = true; ///< Whether the operator may change anything or only read.
+    bool mayChange = true; ///< false: read-only access.
     bool operator==(const operator_setting&) const = default;
 };
 
+/// Settings that all roles of a process share.
 struct process_settings {
     std::string name;
     std::string failureDomain;
-    std::string dataFolder; ///< Needed by the control role only.
-    std::string logFile; ///< Empty: standard output.
-    std::string traceFile; ///< Empty: no traces.
-    std::string clusterSecret; ///< Shared by all processes of the system.
+    std::string dataFolder; ///< Required by the control role.
+    std::string logFile; ///< Empty for standard output.
+    std::string traceFile; ///< Empty disables tracing.
+    std::string clusterSecret; ///< The same in all processes of the system.
     std::uint64_t gracePeriodMs = 10'000;
 };
 
+/// Routing of prompts and plain requests to targets.
 struct entry_settings {
-    std::string callerAddress; ///< Callers' HTTP.
-    std::string targetAddress; ///< Targets' announcements.
-    std::string peerAddress; ///< Other entries.
+    std::string callerAddress; ///< HTTP interface for callers.
+    std::string targetAddress; ///< Receives the announcements of targets.
+    std::string peerAddress; ///< Receives calls of other entries.
     std::vector<peer_setting> peers; ///< The other entries.
-    std::vector<std::string> control;
-    std::vector<std::string> stores;
+    std::vector<std::string> control; ///< Control VMs: ip:port.
+    std::vector<std::string> stores; ///< Stores: ip:port.
     std::uint64_t maxConnections = 256;
     std::uint64_t maxBodyBytes = 1 << 20;
     std::uint64_t defaultDeadlineMs = 60'000;
     std::uint64_t maxQueueWaitMs = 2'000;
-    std::uint64_t firstTokenBoundMs = 890; ///< Work that would wait and then miss it is refused at once.
-    std::uint64_t targetExpiryMs = 3'000;
+    /// Target for the time to first token; requests that would wait and then miss it are rejected at once.
+    std::uint64_t firstTokenBoundMs = 890;
+    std::uint64_t targetExpiryMs = 3'000; ///< Silence after which a target is removed.
+    /// Age of the last quorum confirmation above which only the local failure domain is used.
     std::uint64_t viewBoundMs = 3'000;
-    std::uint64_t linkBytesPerSecond = 125'000'000; ///< Towards the stores.
-    std::uint64_t kvBlockBytes = 4096; ///< Size of the KV blocks that the engines export.
-    std::uint64_t minStoreBlocks = 2; ///< Shorter prompts are recomputed without asking a store.
+    std::uint64_t linkBytesPerSecond = 125'000'000; ///< Bandwidth to the stores.
+    std::uint64_t kvBlockBytes = 4096; ///< Size of the KV blocks that engines export.
+    std::uint64_t minStoreBlocks = 2; ///< Shorter prompts are recomputed without a store lookup.
 };
 
 /// Forwarding of opaque requests to announced targets.
 struct forwarding_settings {
-    std::string callerAddress; ///< Callers' HTTP.
-    std::string readinessAddress; ///< The balancer asks here whether callers may come.
-    std::vector<std::string> control; ///< Control VMs to start from: ip:port of their platform addresses.
-    std::uint64_t controlPort = 0; ///< Port of the control VMs' calls.
-    std::string metricsAddress; ///< Prometheus text; empty for none.
-    std::uint64_t retryPercent = 20; ///< Repeats towards a service, of its requests.
-    std::uint64_t retryExtra = 50; ///< Repeats that all entries together may add in retryWindowMs.
+    std::string callerAddress; ///< HTTP interface for callers.
+    std::string readinessAddress; ///< Readiness probe of the load balancer.
+    std::vector<std::string> control; ///< Seed control VMs: ip:port of their platform addresses.
+    std::uint64_t controlPort = 0; ///< RPC port of the control VMs.
+    std::string metricsAddress; ///< Serves metrics as Prometheus text; empty for none.
+    std::uint64_t retryPercent = 20; ///< Retries to a service, as a share of its requests.
+    std::uint64_t retryExtra = 50; ///< Further retries of all entries together per retryWindowMs.
     std::uint64_t retryWindowMs = 10'000;
-    std::uint64_t coldOvershootPercent = 100; ///< Of a service's cold rate that all entries together use.
-    std::uint64_t weightsBoundMs = 10'000; ///< After this no request begins on older weights.
+    /// Share of a service's cold request rate that all entries together use.
+    std::uint64_t coldOvershootPercent = 100;
+    std::uint64_t weightsBoundMs = 10'000; ///< Time limit for starting requests on stale weights.
 };
 
+/// Membership in the control group, which replicates the configuration.
 struct control_settings {
-    std::string address;
+    std::string address; ///< RPC interface for entries, operators and other control VMs.
     std::vector<peer_setting> peers; ///< The other control VMs.
-    std::vector<std::string> seeds; ///< Control VMs to start from: ip:port of their platform addresses.
-    std::uint64_t rpcPort = 0; ///< Port of the seeds' calls.
-    std::string platformAddress; ///< Calls of targets and the platform's operators; empty for none.
-    bool firstStart = false; ///< The whole system starts for the first time: the seeds form the group.
-    std::uint64_t targetSilenceMs = 6'000; ///< A target that was not heard for so long counts as silent.
-    std::uint64_t maxConcurrentLoads = 3; ///< Targets that load weights at the same time.
-    std::uint64_t orderLeaseMs = 3'000; ///< Lease of the only control VM that gives orders.
+    std::vector<std::string> seeds; ///< Seed control VMs: ip:port of their platform addresses.
+    std::uint64_t rpcPort = 0; ///< RPC port of the seeds.
+    std::string platformAddress; ///< HTTP interface for targets and platform operators; empty for none.
+    bool firstStart = false; ///< Bootstrap: the seeds form a new group.
+    std::uint64_t targetSilenceMs = 6'000; ///< Age of the latest announcement above which a target is silent.
+    std::uint64_t maxConcurrentLoads = 3; ///< Number of targets that load weights at the same time.
+    std::uint64_t orderLeaseMs = 3'000; ///< Lease of the one control VM that sends load orders to targets.
     std::vector<operator_setting> operators;
     std::uint64_t electionTimeoutMs = 400;
     std::uint64_t snapshotEveryEntries = 10'000;
-    std::uint64_t maxDataBytes = 0; ///< Changes are refused beyond; 0: no limit but the disk's.
+    std::uint64_t maxDataBytes = 0; ///< Changes are rejected above it; 0 for no limit but the disk's.
 };
 
+/// Storage of KV blocks.
 struct store_settings {
-    std::string address; ///< Entries' calls.
-    std::string blockAddress; ///< Engines' HTTP.
-    std::uint64_t memoryBytes = 256ull << 20;
+    std::string address; ///< RPC interface for entries.
+    std::string blockAddress; ///< HTTP interface for engines.
+    std::uint64_t memoryBytes = 256ull << 20; ///< Capacity for blocks.
 };
 
-/// Settings of one process. A role that is not set does not run.
+/// Settings of one process. It runs the roles that are set.
 struct settings {
     process_settings process;
     std::optional<entry_settings> entry;
@@ -98,25 +105,27 @@
     std::optional<store_settings> store;
 };
 
-/// @return the addresses for calls between control VMs of the seeds of a control VM.
+/// @return the RPC addresses of the seeds.
 std::vector<std::string> seedAddresses(const control_settings& control);
 
-/// @return an address with another port.
+/// @return the address with its port replaced.
 std::string withPort(const std::string& address, std::uint64_t port);
 
-/// Reads settings, JSON with comments.
-/// @param file used in messages.
-/// @return the settings, or invalid_argument with one line per fault: file, path of the key, what is allowed.
+/// Parses and validates settings in JSON with comments.
+/// @param file file name for error messages.
+/// @return the settings, or invalid_argument with one line per error: file, path of the key and allowed
+/// values.
 absl::StatusOr<settings> parseSettings(const std::string& text, const std::string& file);
 
-/// Reads a settings file.
+/// Reads, parses and validates a settings file.
+/// @return the settings, not_found when the file cannot be read, or the errors of parseSettings().
 absl::StatusOr<settings> loadSettings(const std::string& file);
 
-/// @return OK when every address that the settings listen on can be bound on this machine.
+/// Checks that the listening addresses can be bound on this machine.
+/// @return OK, or invalid_argument with one line per address that cannot be bound.
 absl::Status checkAddresses(const settings& checked, const std::string& file);
 
-/// @return every key that settings may hold with what is allowed, one per line, as docs/settings.md shows
-/// them.
+/// @return every settings key with its allowed values, one per line in the format of docs/settings.md.
 std::string settingsReference();
 
 } // namespace plumfold::runtime
--- a/packages/runtime/include/plumfold/runtime/plumfold_stop_signal.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_stop_signal.hpp
@@ -2,17 +2,17 @@
 
 namespace plumfold::runtime {
 
-/// What an operator or the platform tells a process by a signal.
+/// Signals that a process handles.
 enum class process_signal {
     stop, ///< SIGTERM or SIGINT
-    reload, ///< SIGHUP: the settings file has changed.
+    reload, ///< SIGHUP: reload the settings file.
 };
 
-/// Blocks SIGTERM, SIGINT and SIGHUP in this thread and those started later, and ignores SIGPIPE. Call it
-/// before any thread is started.
+/// Blocks SIGTERM, SIGINT and SIGHUP in this thread and the threads that it starts later, and ignores
+/// SIGPIPE. Call it before any thread is started.
 void blockStopSignals();
 
-/// Waits until one of the signals arrives.
+/// Blocks until SIGTERM, SIGINT or SIGHUP arrives.
 process_signal waitForSignal();
 
 } // namespace plumfold::runtime
--- a/packages/runtime/include/plumfold/runtime/plumfold_trace.hpp
+++ b/packages/runtime/include/plumfold/runtime/plumfold_trace.hpp
@@ -10,18 +10,19 @@
 
 namespace plumfold::runtime {
 
-/// Identity of a span within a trace, as in the W3C traceparent header.
+/// Trace and span id as in the W3C traceparent header.
 struct trace_context {
     std::string traceId; ///< 32 hexadecimal digits.
-    std::string spanId; ///< 16 hexadecimal digits.
+    std::string spanId; ///< 16 hexadecimal digits; empty in a new trace.
 
-    /// @return the context of a traceparent header, or a new trace when the header is missing or malformed.
+    /// @return the context of a traceparent header, or a new trace when it is empty or malformed.
     static trace_context fromHeader(const std::string& traceparent);
+    /// @return a new span id in the same trace.
     trace_context child() const;
     std::string toHeader() const;
 };
 
-/// One finished hop of a request.
+/// A finished step in the processing of a request.
 struct span {
     trace_context context;
     std::string parentSpanId;
@@ -31,15 +32,18 @@
     std::map<std::string, std::string> attributes;
 };
 
-/// Writes spans as OTLP/JSON lines on a thread of its own. Spans that it cannot keep up with are dropped and
-/// counted.
+/// Writes spans as OTLP/JSON lines in a background thread. Spans are dropped and counted while its queue is
+/// full.
 class trace_writer {
 public:
-    /// @param file an empty name turns traces off.
+    /// @param file trace file, appended to; empty disables tracing.
+    /// @param process host name in the trace.
     trace_writer(const std::string& file, const std::string& process);
     ~trace_writer();
 
+    /// Queues a span without blocking.
     void write(span finished);
+    /// @return the number of dropped spans.
     std::uint64_t dropped() const { return m_dropped; }
 
 private:
@@ -53,10 +57,10 @@
     std::thread m_thread;
 };
 
-/// @return a span as one OTLP/JSON line.
+/// Serializes a span as one line of OTLP/JSON, without a line break.
 std::string toOtlpLine(const span& finished, const std::string& process);
 
-/// @return the span of an OTLP/JSON line.
+/// Deserializes a line that toOtlpLine() returned.
 /// @throws std::exception when the line is malformed.
 span fromOtlpLine(const std::string& line);
 
--- a/packages/runtime/src/plumfold_log.cpp
+++ b/packages/runtime/src/plumfold_log.cpp
@@ -51,10 +51,11 @@
 constexpr std::size_t maxQueuedLines = 4096;
 std::atomic<std::uint64_t> droppedLines { 0 };
 
-/// A reader of standard output that does not keep up costs lines, never requests.
+/// Overflow strategy of the console queue: drops lines, so that a slow reader of standard output never blocks
+/// requests.
 class drop_and_count_on_overflow {
 public:
-    // The library calls these by its own names. NOLINTBEGIN(readability-identifier-naming)
+    // Names required by Boost.Log. NOLINTBEGIN(readability-identifier-naming)
     template <class Lock> bool on_overflow(const boost::log::record_view&, Lock&)
     {
         ++droppedLines;
--- a/packages/runtime/src/plumfold_settings.cpp
+++ b/packages/runtime/src/plumfold_settings.cpp
@@ -17,14 +17,14 @@
 
 using json = nlohmann::json;
 
-/// One key of an object of the settings.
+/// Name, type and constraints of one key in a settings object.
 template <class Owner> struct setting_field {
     using member = std::variant<std::string Owner::*, std::uint64_t Owner::*, bool Owner::*,
         std::vector<std::string> Owner::*, std::vector<peer_setting> Owner::*,
         std::vector<operator_setting> Owner::*>;
     const char* name;
     member memberPointer;
-    const char* allowed; ///< What is allowed, for messages and the reference.
+    const char* allowed; ///< Allowed values as text for error messages and the settings reference.
     bool required = false;
     bool isAddress = false;
     std::uint64_t minimum = 0;
@@ -156,7 +156,7 @@
     return all;
 }
 
-/// Reads objects and gathers every fault.
+/// Reads settings objects and collects all errors, so that one run reports every invalid key.
 class settings_reader {
 public:
     explicit settings_reader(std::string file)
@@ -301,7 +301,7 @@
             if (hasPort && Poco::Net::SocketAddress(address).port() != 0)
                 return;
         } catch (const Poco::Exception&) {
-            // told below
+            // reported below
         }
         addError(path, "is not an address; allowed: ip:port with an IP number and a port from 1 to 65535");
     }
--- a/packages/runtime/src/plumfold_trace.cpp
+++ b/packages/runtime/src/plumfold_trace.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t traceIdDigits = 32;
 constexpr std::size_t spanIdDigits = 16;
-constexpr std::size_t headerLength = 55; // 00-<32>-<16>-<2>
+constexpr std::size_t headerLength = 55; // version-traceId-spanId-flags with 2, 32, 16 and 2 digits
 constexpr std::size_t ringCapacity = 4096;
 
 bool isHex(const std::string& text)
