--- a/packages/client/src/plumfold_load_run.cpp
+++ b/packages/client/src/plumfold_load_run.cpp
@@ -18,7 +18,7 @@
 constexpr core::milliseconds defaultRetryPause { 200 };
 constexpr core::milliseconds maxRetryPause { 1000 };
 
-/// One request of the plan.
+/// The conversation and turn that a request belongs to.
 struct planned_request {
     std::uint32_t conversation = 0;
     std::uint32_t turn = 0;
