--- a/packages/plumfold/src/plumfold_commands_registry.hpp
+++ b/packages/plumfold/src/plumfold_commands_registry.hpp
@@ -10,11 +10,11 @@
 
 namespace plumfold::cli {
 
-/// What all subcommands share. `action` is set by the subcommand that was called.
+/// State that all subcommands share.
 struct command_context {
     operator_client_options connection;
     std::string output = "text";
-    std::function<int()> action;
+    std::function<int()> action; ///< Set by the chosen subcommand; returns the exit code.
 
     bool asJson() const { return output == "json"; }
 };
--- a/packages/plumfold/src/plumfold_main.cpp
+++ b/packages/plumfold/src/plumfold_main.cpp
@@ -1,4 +1,4 @@
-// The operators' and testers' command line.
+// Command line for operators and testers.
 
 #include "plumfold_commands_registry.hpp"
 #include "plumfold_output.hpp"
--- a/packages/plumfold/src/plumfold_operator_client.hpp
+++ b/packages/plumfold/src/plumfold_operator_client.hpp
@@ -18,10 +18,10 @@
 struct operator_client_options {
     std::vector<std::string> control; ///< Addresses of control VMs.
     std::string token;
-    core::milliseconds timeout { 5000 };
+    core::milliseconds timeout { 5000 }; ///< For finding a leader.
 };
 
-/// One entry as control sees it.
+/// State of one entry as a control VM last received it.
 struct entry_state {
     std::string name;
     std::string failureDomain;
@@ -29,7 +29,7 @@
     std::uint64_t ageMs = 0;
 };
 
-/// What one control VM tells of itself.
+/// Status that one control VM reports about itself.
 struct control_state_report {
     std::string address;
     bool reachable = false;
@@ -44,17 +44,19 @@
     std::vector<entry_state> entries;
 };
 
-/// Calls the operators' interface of whichever control VM leads.
+/// Client of the operator interface; finds the leader among the control VMs.
 class operator_client {
 public:
     explicit operator_client(operator_client_options options);
 
-    /// Forms a new group with the control VM at an address.
+    /// Bootstraps a new group with the control VM at an address.
+    /// @return OK, or already_exists when it belongs to a group.
     absl::Status form(const std::string& address);
 
-    /// Changes one record. Reads the configuration first; a lost race is reported as aborted.
-    /// @param requestId the same id is answered the same way again.
-    /// @param expectedRevision 0 for the present one.
+    /// Changes one record.
+    /// @param requestId idempotency key: the same id returns the same result.
+    /// @param expectedRevision revision that the change is based on; 0 reads the current one first. The
+    /// change is aborted when the revision differs by then.
     absl::StatusOr<core::change_result> change(
         const core::change& what, const std::string& requestId, std::uint64_t expectedRevision);
 
@@ -63,14 +65,14 @@
     absl::StatusOr<std::vector<core::audit_record>> audit();
     absl::Status withdrawVerdict(std::uint64_t fingerprint);
 
-    /// Asks every control VM.
+    /// Queries every control VM, including those that are unreachable.
     std::vector<control_state_report> status();
 
 private:
     using operator_call = std::function<kj::Promise<bool>(wire::Operator::Client)>;
 
-    /// Calls control VMs in turn until one accepts.
-    /// @param call resolves to whether the control VM accepted.
+    /// Tries the control VMs in order until one accepts or the timeout passes.
+    /// @param call resolves to whether the control VM accepted the call, as the leader does.
     absl::Status callLeader(const operator_call& call);
     absl::Status callControlVm(const std::string& address, const operator_call& call, bool& accepted);
 
--- a/packages/plumfold/src/plumfold_output.hpp
+++ b/packages/plumfold/src/plumfold_output.hpp
@@ -9,7 +9,7 @@
 
 namespace plumfold::cli {
 
-/// Exit codes of the command line, as docs/cli.md lists them.
+/// Exit codes of the command line; docs/cli.md documents them.
 enum exit_code {
     exit_ok = 0,
     exit_failed = 1,
@@ -20,15 +20,15 @@
     exit_refused = 6,
 };
 
-/// @return the exit code of a status.
+/// @return the exit code for a status.
 int exitCodeOf(const absl::Status& status);
 
-/// Prints a result.
-/// @param asJson one JSON document; else key=value lines.
+/// Prints a result to standard output.
+/// @param asJson true for one JSON document, false for lines of key=value pairs.
 void print(const nlohmann::json& result, bool asJson);
 
-/// Prints a failure to standard error.
-/// @return the exit code.
+/// Prints an error to standard error.
+/// @return the exit code for its status.
 int printFailure(const absl::Status& status, bool asJson);
 
 nlohmann::json toJson(const core::record& value);
--- a/packages/plumfold/src/plumfold_record_commands.cpp
+++ b/packages/plumfold/src/plumfold_record_commands.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t requestIdBytes = 8;
 
-/// Options that every change takes.
+/// Options that all changes have.
 struct change_options {
     std::string requestId;
     std::uint64_t expectedRevision = 0;
@@ -48,8 +48,8 @@
     return exit_ok;
 }
 
-/// State of one kind's subcommands. Shared by their callbacks, which live as long as the application's
-/// description.
+/// Option values of the subcommands for one record kind. Their callbacks share ownership, because they run
+/// after addKind() has returned.
 template <class Record> struct record_command {
     Record record;
     change_options options;
@@ -57,12 +57,12 @@
 };
 
 /// Adds `KIND put`, `KIND remove` and `KIND list`.
-/// @param describe adds the options of put.
+/// @param describe adds the options of `put`.
 template <class Record>
 void addKind(CLI::App& app, command_context& context, core::record_kind kind, const std::string& help,
     const std::function<void(CLI::App&, Record&)>& describe)
 {
-    auto state = std::make_shared<record_command<Record>>(); // kept by the callbacks below
+    auto state = std::make_shared<record_command<Record>>();
     auto* group = app.add_subcommand(core::recordKindName(kind), help);
     group->require_subcommand(1);
     auto* put = group->add_subcommand("put", "create or change");
--- a/packages/plumfoldd/src/plumfoldd_main.cpp
+++ b/packages/plumfoldd/src/plumfoldd_main.cpp
@@ -1,4 +1,4 @@
-// The server: runs the roles that its settings file names until SIGTERM.
+// Server process: runs the roles in its settings file until SIGTERM or SIGINT.
 
 #include "plumfold/control/plumfold_control_role.hpp"
 #include "plumfold/entry/plumfold_entry_role.hpp"
@@ -25,14 +25,14 @@
 constexpr int exitStartFailed = 3;
 constexpr int exitDiskFailed = 4;
 
-/// A control VM whose disk fails must not go on: what it acknowledges would not last.
+/// Ends the process when the disk fails, because acknowledged changes would no longer be durable.
 void stopOnDiskFailure(const std::string& message)
 {
     log_event("disk_failed", log_level::error).with("message", message);
     std::_Exit(exitDiskFailed);
 }
 
-/// Takes what may change while the process runs: the control VMs to start from.
+/// Reloads the settings file and applies the only setting that can change at run time: the seed control VMs.
 void reload(const std::string& file, plumfold::forwarding::forwarding_role* forwarding)
 {
     auto settings = plumfold::runtime::loadSettings(file);
