--- a/tests/runtime/plumfold_runtime_tests.cpp
+++ b/tests/runtime/plumfold_runtime_tests.cpp
@@ -9,7 +9,7 @@
 
 using namespace plumfold::runtime;
 
-TEST_CASE("A ring hands items over in order and refuses more than it holds", "[ring]")
+TEST_CASE("A bounded ring is first-in first-out and rejects items when it is full or closed", "[ring]")
 {
     bounded_ring<int> ring(2);
     CHECK(ring.tryPush(1));
@@ -24,7 +24,7 @@
     CHECK_FALSE(ring.tryPush(4));
 }
 
-TEST_CASE("A ring loses nothing between two threads", "[ring]")
+TEST_CASE("A bounded ring passes every item from one thread to another", "[ring]")
 {
     bounded_ring<int> ring(16);
     constexpr int count = 20'000;
@@ -41,7 +41,7 @@
     CHECK(sum == static_cast<long>(count) * (count + 1) / 2);
 }
 
-TEST_CASE("Metrics are printed as Prometheus text", "[metrics]")
+TEST_CASE("Metrics are exported as Prometheus text", "[metrics]")
 {
     metrics subject;
     subject.count("a_total{kind=\"x\"}", 2);
@@ -53,7 +53,7 @@
     CHECK_THAT(text, Catch::Contains("c_ms_count 100\n") && Catch::Contains("c_ms{quantile=\"0.95\"}"));
 }
 
-TEST_CASE("A span survives its way through an OTLP line", "[trace]")
+TEST_CASE("A span is unchanged after a round trip through an OTLP line", "[trace]")
 {
     span original { { std::string(32, 'a'), std::string(16, 'b') }, std::string(16, 'c'), "target", 1, 2,
         { { "k", "v" } } };
@@ -63,7 +63,7 @@
     CHECK(read.endNanoseconds == 2);
 }
 
-TEST_CASE("A traceparent is taken on, and a malformed one begins a new trace", "[trace]")
+TEST_CASE("A valid traceparent is continued, a malformed one starts a new trace", "[trace]")
 {
     std::string header = "00-" + std::string(32, 'a') + '-' + std::string(16, 'b') + "-01";
     CHECK(trace_context::fromHeader(header).toHeader() == header);
@@ -72,7 +72,7 @@
         CHECK(trace_context::fromHeader(malformed).traceId.size() == 32);
 }
 
-TEST_CASE("Secrets are compared whole and hashed as others hash them", "[secrets]")
+TEST_CASE("Secrets are compared in full and hashed with standard SHA-256", "[secrets]")
 {
     CHECK(secretsMatch("abc", "abc"));
     CHECK_FALSE(secretsMatch("abc", "abd"));
--- a/tests/runtime/plumfold_settings_tests.cpp
+++ b/tests/runtime/plumfold_settings_tests.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("Settings are JSON with comments of both kinds", "[settings]")
+TEST_CASE("Settings are JSON with line and block comments", "[settings]")
 {
     auto settings = parseSettings(minimalSettings(""), "f");
     REQUIRE(settings.ok());
@@ -36,7 +36,7 @@
     CHECK_FALSE(settings->entry);
 }
 
-TEST_CASE("Each fault names the file, the path of the key and what is allowed", "[settings]")
+TEST_CASE("Each settings error names the file, the path of the key and the allowed values", "[settings]")
 {
     auto [text, path, expected] = GENERATE(table<std::string, std::string, std::string>({
         { minimalSettings(R"(, "colour": 1)"), "f: /store/colour", "not a known key" },
@@ -57,7 +57,7 @@
     CHECK_THAT(std::string(settings.status().message()), Catch::Contains(path) && Catch::Contains(expected));
 }
 
-TEST_CASE("The examples are valid settings", "[settings][examples]")
+TEST_CASE("The example settings files are valid", "[settings][examples]")
 {
     int checked = 0;
     for (const auto& file :
@@ -72,7 +72,7 @@
     CHECK(checked == 20);
 }
 
-TEST_CASE("docs/settings.md lists every key as the code knows it", "[settings][docs]")
+TEST_CASE("docs/settings.md lists every key as in the settings reference", "[settings][docs]")
 {
     std::string page = readFile(PLUMFOLD_SOURCE_FOLDER "/docs/settings.md");
     std::istringstream reference(settingsReference());
@@ -83,7 +83,7 @@
     }
 }
 
-TEST_CASE("No text makes the reader of settings fail other than by a message", "[settings][property]")
+TEST_CASE("Parsing any text returns settings or an error message", "[settings][property]")
 {
     rc::prop("any text", [](const std::string& text) { RC_ASSERT(!parseSettings(text, "f").ok()); });
     rc::prop("a valid text with one byte changed", [] {
--- a/tests/runtime/plumfold_wire_names_tests.cpp
+++ b/tests/runtime/plumfold_wire_names_tests.cpp
@@ -16,10 +16,10 @@
     return text.str();
 }
 
-/// Headers of HTTP itself, which the product's own interface uses as well.
+/// Standard HTTP headers, which plumfold's own interface uses as well.
 const std::set<std::string> httpNames { "\"Retry-After\"" };
 
-/// @return the names in quotes, as the platform's folder declares them.
+/// @return the quoted names that the platform folder declares.
 std::set<std::string> platformNames()
 {
     const std::filesystem::path folder = PLUMFOLD_SOURCE_FOLDER;
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("No name of the platform stands outside its folder", "[platform]")
+TEST_CASE("Names of the platform interface occur only in the platform folder", "[platform]")
 {
     auto names = platformNames();
     REQUIRE(names.size() > 20);
