--- a/packages/control/include/plumfold/control/plumfold_durable_log.hpp
+++ b/packages/control/include/plumfold/control/plumfold_durable_log.hpp
@@ -43,7 +43,7 @@
     /// Appends the persistent part of a node's output to the log and syncs it. A snapshot to install replaces
     /// the log instead.
     /// @return unavailable after an I/O error.
-    absl::Status persist(const core::raft_output& work);
+    absl::Status persist(const core::raft_output& output);
 
     /// Writes a snapshot, then rewrites the log without the entries that it covers.
     /// @param hard the current hard state.
--- a/packages/control/src/plumfold_control_node.cpp
+++ b/packages/control/src/plumfold_control_node.cpp
@@ -83,25 +83,25 @@
 bool control_node::processOutput()
 {
     while (true) {
-        core::raft_output work = m_raft.takeOutput();
-        if (work.empty())
+        core::raft_output output = m_raft.takeOutput();
+        if (output.empty())
             return true;
-        if (work.needsSync()) {
-            if (auto status = m_log->persist(work); !status.ok()) {
+        if (output.needsSync()) {
+            if (auto status = m_log->persist(output); !status.ok()) {
                 m_onDiskFailure(std::string(status.message()));
                 return false;
             }
             m_raft.persisted(runtime::now());
         }
-        if (work.install) {
-            m_state = core::control_state(wire::decode<wire::ControlSnapshot>(work.install->state));
-            m_appliedIndex = work.install->index;
-            m_appliedTerm = work.install->term;
-            m_appliedMembers = work.install->members;
+        if (output.install) {
+            m_state = core::control_state(wire::decode<wire::ControlSnapshot>(output.install->state));
+            m_appliedIndex = output.install->index;
+            m_appliedTerm = output.install->term;
+            m_appliedMembers = output.install->members;
         }
-        if (!work.messages.empty())
-            m_send(std::move(work.messages));
-        for (const auto& entry : work.committed)
+        if (!output.messages.empty())
+            m_send(std::move(output.messages));
+        for (const auto& entry : output.committed)
             apply(entry);
     }
 }
--- a/packages/control/src/plumfold_durable_log.cpp
+++ b/packages/control/src/plumfold_durable_log.cpp
@@ -305,22 +305,22 @@
     return synced ? absl::OkStatus() : ioError("sync", "");
 }
 
-absl::Status durable_log::persist(const core::raft_output& work)
+absl::Status durable_log::persist(const core::raft_output& output)
 {
-    if (work.install) {
-        core::hard_state hard = work.hard.value_or(m_hard);
-        if (auto status = compact(*work.install, hard, work.append); !status.ok())
+    if (output.install) {
+        core::hard_state hard = output.hard.value_or(m_hard);
+        if (auto status = compact(*output.install, hard, output.append); !status.ok())
             return status;
         return absl::OkStatus();
     }
     std::string bytes;
-    if (work.truncateFrom)
-        bytes += frame(wire::encode<wire::WalRecord>(wire::wal_record(*work.truncateFrom)));
-    for (const auto& entry : work.append)
+    if (output.truncateFrom)
+        bytes += frame(wire::encode<wire::WalRecord>(wire::wal_record(*output.truncateFrom)));
+    for (const auto& entry : output.append)
         bytes += frame(wire::encode<wire::WalRecord>(wire::wal_record(entry)));
-    if (work.hard) {
-        bytes += frame(wire::encode<wire::WalRecord>(wire::wal_record(*work.hard)));
-        m_hard = *work.hard;
+    if (output.hard) {
+        bytes += frame(wire::encode<wire::WalRecord>(wire::wal_record(*output.hard)));
+        m_hard = *output.hard;
     }
     if (auto status = writeAll(m_logFile, bytes); !status.ok())
         return status;
