--- a/packages/control/src/plumfold_deployment_feed.cpp
+++ b/packages/control/src/plumfold_deployment_feed.cpp
@@ -252,16 +252,16 @@
     if (now - m_lastTick > maxTickGap)
         m_directory.restartAnnouncementTimeouts(now);
     m_lastTick = now;
-    auto silence = core::milliseconds(m_settings.control->targetSilenceMs);
-    auto expired = m_directory.detectSilent(now, silence);
-    for (const auto& name : expired)
+    auto announcementTimeout = core::milliseconds(m_settings.control->targetSilenceMs);
+    auto silent = m_directory.detectSilent(now, announcementTimeout);
+    for (const auto& name : silent)
         logTarget("target_silent", m_directory.entries().at(name).last);
     m_directory.removeStale(now, maxTargetAge);
     m_parts.expire(now, maxPartsAge);
     std::erase_if(
         m_loadReports, [&](const auto& each) { return now - each.second.sentAt > maxLoadReportAge; });
     std::erase_if(m_followers, [&](const auto& each) { return now - each.second > followerTimeout; });
-    if (!expired.empty())
+    if (!silent.empty())
         wake();
 }
 
