--- a/packages/core/include/plumfold/core/plumfold_target_selector.hpp
+++ b/packages/core/include/plumfold/core/plumfold_target_selector.hpp
@@ -195,7 +195,7 @@
         const tracked_target& target, const placement_request& request, bool isPreferred) const;
     double predictedMs(
         const tracked_target& target, const placement_request& request, bool isPreferred, instant now) const;
-    placement startAttempt(tracked_target& target, const placement_request& request, instant now);
+    placement recordStart(tracked_target& target, const placement_request& request, instant now);
     bool isUnderLoad(const tracked_target& target, instant now) const;
     tracked_target* preferredTarget(
         const std::vector<tracked_target*>& candidates, std::uint64_t session) const;
--- a/packages/core/src/plumfold_target_selector.cpp
+++ b/packages/core/src/plumfold_target_selector.cpp
@@ -165,7 +165,7 @@
             ? 0
             : predictedMs(*chosen, request, chosen == preferredTarget(candidates, request.session), now);
         double wait = request.session == 0 ? 0 : waitMs(*chosen, request, now);
-        answer.chosen = startAttempt(*chosen, request, now);
+        answer.chosen = recordStart(*chosen, request, now);
         answer.chosen->waitMs = wait;
         answer.chosen->predictedMs = predicted;
         answer.chosen->isTargetUnderLoad = isUnderLoad(*chosen, now);
@@ -176,7 +176,7 @@
     return answer;
 }
 
-placement target_selector::startAttempt(tracked_target& target, const placement_request& request, instant now)
+placement target_selector::recordStart(tracked_target& target, const placement_request& request, instant now)
 {
     ++target.inFlight;
     target.inFlightTokens += expectedTokens(request);
