--- a/packages/plumfold/src/plumfold_operator_client.cpp
+++ b/packages/plumfold/src/plumfold_operator_client.cpp
@@ -104,10 +104,10 @@
     const core::change& what, const std::string& requestId, std::uint64_t expectedRevision)
 {
     if (expectedRevision == 0) {
-        auto present = read();
-        if (!present.ok())
-            return present.status();
-        expectedRevision = present->revision();
+        auto current = read();
+        if (!current.ok())
+            return current.status();
+        expectedRevision = current->revision();
     }
     core::change_result result;
     auto status = callLeader([&](wire::Operator::Client client) {
--- a/packages/wire/src/plumfold_convert_commands.cpp
+++ b/packages/wire/src/plumfold_convert_commands.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr unsigned changeOutcomes = 3;
-constexpr unsigned claimAnswers = 5;
-constexpr unsigned claimOutcomes = 3;
+constexpr unsigned changeOutcomeCount = 3;
+constexpr unsigned claimStatusCount = 5;
+constexpr unsigned claimOutcomeCount = 3;
 
 } // namespace
 
@@ -146,7 +146,7 @@
     case Command::FINISH_CLAIM: {
         auto from = in.getFinishClaim();
         value.payload = core::finish_claim_command { read(from.getKey()), text(from.getHolder()),
-            checkedEnum<core::claim_outcome>(from.getOutcome(), claimOutcomes), read(from.getAnswer()) };
+            checkedEnum<core::claim_outcome>(from.getOutcome(), claimOutcomeCount), read(from.getAnswer()) };
         return value;
     }
     case Command::USAGE: {
@@ -191,7 +191,7 @@
 
 core::change_result read(ChangeResult::Reader in)
 {
-    return core::change_result { checkedEnum<core::change_outcome>(in.getOutcome(), changeOutcomes),
+    return core::change_result { checkedEnum<core::change_outcome>(in.getOutcome(), changeOutcomeCount),
         in.getRevision(), text(in.getMessage()) };
 }
 
@@ -224,7 +224,7 @@
         return core::lease_result { in.getLease().getGranted(), in.getLease().getFence() };
     case CommandResult::CLAIM: {
         auto from = in.getClaim();
-        return core::claim_result { checkedEnum<core::claim_status>(from.getState(), claimAnswers),
+        return core::claim_result { checkedEnum<core::claim_status>(from.getState(), claimStatusCount),
             read(from.getAnswer()), from.getRetryAfterMs() };
     }
     }
@@ -265,7 +265,7 @@
     value.key = read(in.getKey());
     value.fingerprint = in.getFingerprint();
     value.holder = text(in.getHolder());
-    value.state = checkedEnum<core::claim_status>(in.getState(), claimAnswers);
+    value.state = checkedEnum<core::claim_status>(in.getState(), claimStatusCount);
     value.runUntil = in.getRunUntil();
     value.keepUntil = in.getKeepUntil();
     value.response = read(in.getAnswer());
--- a/packages/wire/src/plumfold_convert_configuration.cpp
+++ b/packages/wire/src/plumfold_convert_configuration.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr unsigned recordKinds = 7;
+constexpr unsigned recordKindCount = 7;
 
 } // namespace
 
@@ -110,7 +110,7 @@
     if (in.isPut())
         return read(in.getPut());
     auto from = in.getRemove();
-    return core::record_key { checkedEnum<core::record_kind>(from.getKind(), recordKinds),
+    return core::record_key { checkedEnum<core::record_kind>(from.getKind(), recordKindCount),
         text(from.getName()) };
 }
 
--- a/packages/wire/src/plumfold_convert_deployment.cpp
+++ b/packages/wire/src/plumfold_convert_deployment.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr unsigned targetStates = 3;
+constexpr unsigned targetStateCount = 3;
 
 } // namespace
 
@@ -73,7 +73,7 @@
     value.address = text(in.getAddress());
     value.failureDomain = text(in.getFailureDomain());
     value.slots = in.getSlots();
-    value.state = checkedEnum<core::target_state>(in.getState(), targetStates);
+    value.state = checkedEnum<core::target_state>(in.getState(), targetStateCount);
     value.coldFor = core::milliseconds(in.getColdForMs());
     value.startedAt = in.getStartedAt();
     value.sequence = in.getSequence();
--- a/packages/wire/src/plumfold_convert_entries.cpp
+++ b/packages/wire/src/plumfold_convert_entries.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr unsigned attemptOutcomes = 6;
+constexpr unsigned attemptOutcomeCount = 6;
 
 } // namespace
 
@@ -72,7 +72,7 @@
 
 core::attempt_measurement read(PermitOutcome::Reader in)
 {
-    return core::attempt_measurement { checkedEnum<core::attempt_outcome>(in.getKind(), attemptOutcomes),
+    return core::attempt_measurement { checkedEnum<core::attempt_outcome>(in.getKind(), attemptOutcomeCount),
         core::milliseconds(in.getFirstTokenMs()), core::milliseconds(in.getExpectedFirstTokenMs()),
         in.getReferenceKnown() };
 }
--- a/packages/wire/src/plumfold_convert_raft.cpp
+++ b/packages/wire/src/plumfold_convert_raft.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr unsigned entryKinds = 3;
-constexpr unsigned messageKinds = 9;
+constexpr unsigned entryKindCount = 3;
+constexpr unsigned messageKindCount = 9;
 
 } // namespace
 
@@ -63,7 +63,7 @@
     core::log_entry value;
     value.term = in.getTerm();
     value.index = in.getIndex();
-    value.kind = checkedEnum<core::entry_kind>(in.getKind(), entryKinds);
+    value.kind = checkedEnum<core::entry_kind>(in.getKind(), entryKindCount);
     if (value.kind == core::entry_kind::membership)
         value.members = decodeMembers(in.getPayload());
     else
@@ -106,7 +106,7 @@
 core::raft_message read(RaftMessage::Reader in)
 {
     core::raft_message value;
-    value.kind = checkedEnum<core::message_kind>(in.getKind(), messageKinds);
+    value.kind = checkedEnum<core::message_kind>(in.getKind(), messageKindCount);
     value.from = text(in.getFrom());
     value.fromIncarnation = in.getFromIncarnation();
     if (value.kind == core::message_kind::join)
