--- a/benchmarks/plumfold_bench_decisions.cpp
+++ b/benchmarks/plumfold_bench_decisions.cpp
@@ -56,7 +56,7 @@
     return report;
 }
 
-prompt_chain chainOfPrompt(std::uint64_t prompt)
+prompt_chain makePromptChain(std::uint64_t prompt)
 {
     prompt_chain chain;
     for (std::uint64_t block = 0; block < blocksPerPrompt; ++block)
@@ -85,7 +85,7 @@
     std::vector<std::uint64_t> sequences(static_cast<std::size_t>(targets), 0);
     for (std::uint64_t prompt = 0; prompt < prompts; ++prompt) {
         events.target = "t" + std::to_string(prompt % static_cast<std::uint64_t>(targets));
-        events.added = chainOfPrompt(prompt);
+        events.added = makePromptChain(prompt);
         auto& sequence = sequences[prompt % static_cast<std::uint64_t>(targets)];
         events.sequence = sequence;
         sequence += blocksPerPrompt;
@@ -99,7 +99,7 @@
         spec.model = "m" + std::to_string(index % 4);
         spec.promptTokens = 2048;
         spec.maxTokens = 100;
-        spec.chain = chainOfPrompt(
+        spec.chain = makePromptChain(
             prompts - 1 - static_cast<std::uint64_t>(index) % std::max<std::uint64_t>(1, prompts));
         spec.deadline = now + std::chrono::seconds(60);
         subject.submit(spec, now);
--- a/benchmarks/plumfold_bench_forwarding.cpp
+++ b/benchmarks/plumfold_bench_forwarding.cpp
@@ -20,7 +20,7 @@
 
 constexpr int pairs = 400;
 constexpr int callers = 4;
-constexpr int requestsEach = 500;
+constexpr int requestsPerCaller = 500;
 
 double milliseconds(const std::function<void()>& work)
 {
@@ -35,7 +35,7 @@
     return values[static_cast<std::size_t>(share * static_cast<double>(values.size() - 1))];
 }
 
-void mustBeServed(const raw_response& answer)
+void reportFailure(const raw_response& answer)
 {
     if (answer.status != 200 || !answer.isComplete)
         std::printf("forwarding: a request was not served: %d\n", answer.status);
@@ -52,7 +52,7 @@
         auto bytes = forwarding_system::requestBytes(path, forwarding_system::nextId(), "order");
         return milliseconds([&] {
             caller.send(bytes);
-            mustBeServed(caller.receive());
+            reportFailure(caller.receive());
         });
     };
     for (int number = 0; number < pairs; ++number) {
@@ -73,9 +73,9 @@
     for (int number = 0; number < callers; ++number) {
         threads.emplace_back([&] {
             raw_caller caller(system.callerAddress(1));
-            for (int count = 0; count < requestsEach; ++count) {
+            for (int count = 0; count < requestsPerCaller; ++count) {
                 caller.send(forwarding_system::requestBytes(path, forwarding_system::nextId(), "order"));
-                mustBeServed(caller.receive());
+                reportFailure(caller.receive());
             }
         });
     }
@@ -83,7 +83,7 @@
         thread.join();
     double seconds = std::chrono::duration<double>(clock_type::now() - start).count();
     double cpu = benchmarks::cpuSeconds(entry) - before;
-    double count = callers * requestsEach;
+    double count = callers * requestsPerCaller;
     std::printf("forwarding: %s requests_per_s=%.0f entry_cpu_us_per_request=%.0f resident_mb=%.0f\n", name,
         count / seconds, cpu * 1e6 / count, benchmarks::residentMegabytes(entry));
 }
--- a/benchmarks/plumfold_bench_policy.cpp
+++ b/benchmarks/plumfold_bench_policy.cpp
@@ -25,12 +25,12 @@
 constexpr double prefillMsPerToken = 0.1;
 constexpr double tokenMs = 20;
 constexpr std::uint32_t outputTokens = 64;
-constexpr std::size_t cacheBlocks = 256; // a small part of all conversations
-constexpr int conversations = 400;
+constexpr std::size_t cacheBlocks = 256; // a small part of all conversationCount
+constexpr int conversationCount = 400;
 constexpr double runSeconds = 120;
-constexpr double firstTokenBoundMs = 890;
-constexpr double domainOutAt = 40;
-constexpr double domainBackAt = 80;
+constexpr double firstTokenLimitMs = 890;
+constexpr double domainOutAtSeconds = 40;
+constexpr double domainBackAtSeconds = 80;
 
 /// One arrival of the trace.
 struct arrival {
@@ -40,7 +40,7 @@
 };
 
 /// A target with a batch and a cache that drops what was used longest ago.
-class model_target {
+class simulated_target {
 public:
     std::uint32_t cachedBlocks(const prompt_chain& chain) const
     {
@@ -91,17 +91,17 @@
     double serviceMs = 300 + outputTokens * tokenMs;
     double capacityPerMs = targetCount * maxBatch / serviceMs;
     std::exponential_distribution<double> gap(capacityPerMs * load);
-    std::vector<int> returns(conversations, 0);
+    std::vector<int> returns(conversationCount, 0);
     std::vector<arrival> trace;
     for (double at = 0; at < runSeconds * 1000; at += gap(random)) {
-        int conversation = static_cast<int>(random() % conversations);
+        int conversation = static_cast<int>(random() % conversationCount);
         auto blocks = static_cast<std::uint32_t>(8 + returns[static_cast<std::size_t>(conversation)]++ % 16);
         trace.push_back({ at, conversation, blocks });
     }
     return trace;
 }
 
-prompt_chain chainOfConversation(int conversation, std::uint32_t blocks)
+prompt_chain makeConversationChain(int conversation, std::uint32_t blocks)
 {
     prompt_chain chain;
     for (std::uint64_t block = 0; block < blocks; ++block)
@@ -136,33 +136,34 @@
 
 protected:
     virtual void decide(std::size_t request) = 0;
-    virtual void ended(std::size_t, int, double, double) { }
+    virtual void requestFinished(std::size_t, int, double, double) { }
     virtual void tick() { }
 
     bool domainOut(int domain) const
     {
-        return m_moveDomain && domain == 0 && nowMs >= domainOutAt * 1000 && nowMs < domainBackAt * 1000;
+        return m_moveDomain && domain == 0 && nowMs >= domainOutAtSeconds * 1000
+            && nowMs < domainBackAtSeconds * 1000;
     }
     bool isMoving(double atMs) const
     {
-        return m_moveDomain && atMs >= domainOutAt * 1000 && atMs < domainBackAt * 1000 + 5000;
+        return m_moveDomain && atMs >= domainOutAtSeconds * 1000 && atMs < domainBackAtSeconds * 1000 + 5000;
     }
 
     void start(std::size_t request, int target)
     {
         auto& chosen = targets[static_cast<std::size_t>(target)];
         double sentMs = nowMs;
-        auto begin = [this, request, target, sentMs] { begun(request, target, sentMs); };
+        auto startRequest = [this, request, target, sentMs] { onStarted(request, target, sentMs); };
         if (chosen.running < maxBatch)
-            begin();
+            startRequest();
         else
-            chosen.queue.push_back(begin);
+            chosen.queue.push_back(startRequest);
     }
 
     void refuse(std::size_t) { ++result.refused; }
     prompt_chain chainOf(std::size_t request) const
     {
-        return chainOfConversation(m_trace[request].conversation, m_trace[request].blocks);
+        return makeConversationChain(m_trace[request].conversation, m_trace[request].blocks);
     }
     std::uint32_t tokensOf(std::size_t request) const
     {
@@ -171,7 +172,7 @@
     const std::vector<arrival>& trace() const { return m_trace; }
 
     double nowMs = 0;
-    std::vector<model_target> targets { targetCount };
+    std::vector<simulated_target> targets { targetCount };
     policy_result result;
 
 private:
@@ -194,7 +195,7 @@
         decide(index);
     }
 
-    void begun(std::size_t request, int target, double sentMs)
+    void onStarted(std::size_t request, int target, double sentMs)
     {
         auto& chosen = targets[static_cast<std::size_t>(target)];
         ++chosen.running;
@@ -210,7 +211,7 @@
         double firstMs = nowMs + 10 + computed * prefillMsPerToken * slowdown;
         double firstToken = firstMs - m_trace[request].atMs;
         result.firstTokens.push_back(firstToken);
-        bool inTime = firstToken <= firstTokenBoundMs;
+        bool inTime = firstToken <= firstTokenLimitMs;
         result.inTime += inTime;
         result.inTimeDuringMove += inTime && isMoving(m_trace[request].atMs);
         at(firstMs + outputTokens * tokenMs, [this, request, target, firstMs, sentMs] {
@@ -221,7 +222,7 @@
                 done.queue.pop_front();
                 next();
             }
-            ended(request, target, firstMs - sentMs, nowMs - sentMs);
+            requestFinished(request, target, firstMs - sentMs, nowMs - sentMs);
         });
     }
 
@@ -263,10 +264,10 @@
             if (!domainOut(target % domainCount) && (least < 0 || loadOf(target) < loadOf(least)))
                 least = target;
         }
-        int home = static_cast<int>(
+        int preferred = static_cast<int>(
             static_cast<unsigned>(trace()[request].conversation) * 2654435761u % targetCount);
-        bool homeFits = !domainOut(home % domainCount) && loadOf(home) < maxBatch;
-        start(request, homeFits ? home : least);
+        bool preferredFits = !domainOut(preferred % domainCount) && loadOf(preferred) < maxBatch;
+        start(request, preferredFits ? preferred : least);
     }
 };
 
@@ -320,7 +321,7 @@
         perform(m_dispatcher.submit(spec, now()));
     }
 
-    void ended(std::size_t request, int, double firstMs, double heldMs) override
+    void requestFinished(std::size_t request, int, double firstMs, double heldMs) override
     {
         attempt_report report;
         report.firstToken = milliseconds(static_cast<std::int64_t>(firstMs));
@@ -415,8 +416,8 @@
 {
     constexpr std::uint64_t seed = 20261203;
     std::printf("policy: seed=%llu targets=%d batch=%u conversations=%d seconds=%.0f bound_ms=%.0f\n",
-        static_cast<unsigned long long>(seed), targetCount, maxBatch, conversations, runSeconds,
-        firstTokenBoundMs);
+        static_cast<unsigned long long>(seed), targetCount, maxBatch, conversationCount, runSeconds,
+        firstTokenLimitMs);
     for (double load : { 0.5, 0.9, 1.2, 2.0 }) {
         auto trace = makeTrace(load, seed);
         print("round_robin", load, false, round_robin(trace, false).run());
--- a/benchmarks/plumfold_bench_watch.cpp
+++ b/benchmarks/plumfold_bench_watch.cpp
@@ -35,9 +35,9 @@
 };
 
 /// Stand-in sessions that do what an entry's control client does.
-class watchers {
+class simulated_entry_sessions {
 public:
-    watchers(wire::rpc_thread& rpc, const watch_options& options, int count)
+    simulated_entry_sessions(wire::rpc_thread& rpc, const watch_options& options, int count)
         : m_rpc(rpc)
         , m_options(options)
         , m_revisions(static_cast<std::size_t>(count))
@@ -48,7 +48,7 @@
                 m_tasks->add(open(index));
         });
     }
-    ~watchers()
+    ~simulated_entry_sessions()
     {
         m_rpc.run([this] {
             m_tasks = nullptr;
@@ -95,7 +95,7 @@
     kj::Own<wire::task_group> m_tasks;
 };
 
-std::uint64_t changeSomething(
+std::uint64_t changeTargetRecord(
     wire::rpc_thread& rpc, const watch_options& options, std::uint64_t revision, int number)
 {
     return rpc.run([&] {
@@ -117,7 +117,7 @@
 
 void measure(wire::rpc_thread& rpc, const watch_options& options, int count)
 {
-    watchers sessions(rpc, options, count);
+    simulated_entry_sessions sessions(rpc, options, count);
     while (sessions.lowestRevision() == 0)
         std::this_thread::sleep_for(std::chrono::milliseconds(50));
     std::this_thread::sleep_for(std::chrono::seconds(1));
@@ -131,7 +131,7 @@
     static int number = 0;
     for (int change = 0; change < 20; ++change) {
         auto start = std::chrono::steady_clock::now();
-        std::uint64_t revision = changeSomething(rpc, options, sessions.lowestRevision(), ++number);
+        std::uint64_t revision = changeTargetRecord(rpc, options, sessions.lowestRevision(), ++number);
         while (sessions.lowestRevision() < revision)
             std::this_thread::sleep_for(std::chrono::microseconds(200));
         times.push_back(
@@ -160,12 +160,12 @@
     core::command claim { 1,
         core::claim_command {
             { "customer-0123", "0123456789abcdef0123456789abcdef" }, 1, "entry-12/0123456789abcdef", 1 } };
-    core::configuration_update nothing;
-    core::configuration_update one;
-    one.deltas.push_back({ 1, core::record(core::target_record { "worker-0123", false, true }) });
+    core::configuration_update emptyUpdate;
+    core::configuration_update oneChange;
+    oneChange.deltas.push_back({ 1, core::record(core::target_record { "worker-0123", false, true }) });
     std::printf("watch: bytes target_report=%zu claim=%zu watch_without_news=%zu watch_with_one_change=%zu\n",
         bytesOf<wire::TargetReport>(report, core::milliseconds(5)), bytesOf<wire::Command>(claim),
-        bytesOf<wire::ConfigurationUpdate>(nothing), bytesOf<wire::ConfigurationUpdate>(one));
+        bytesOf<wire::ConfigurationUpdate>(emptyUpdate), bytesOf<wire::ConfigurationUpdate>(oneChange));
 }
 
 } // namespace
--- a/tests/fakes/plumfold_announcer.cpp
+++ b/tests/fakes/plumfold_announcer.cpp
@@ -35,9 +35,9 @@
 
 } // namespace
 
-announcer::announcer(const fake_options& options, std::function<nlohmann::json()> describe)
+announcer::announcer(const fake_options& options, std::function<nlohmann::json()> makeAnnouncement)
     : m_options(options)
-    , m_describe(std::move(describe))
+    , m_makeAnnouncement(std::move(makeAnnouncement))
     , m_thread([this] { run(); })
 {
 }
@@ -51,7 +51,7 @@
 void announcer::run()
 {
     while (!m_stopping) {
-        nlohmann::json body = m_describe();
+        nlohmann::json body = m_makeAnnouncement();
         body["sequence"] = ++m_sequence;
         for (const auto& entry : m_options.entries)
             announceTo(entry, body.dump());
--- a/tests/fakes/plumfold_fake_answer.cpp
+++ b/tests/fakes/plumfold_fake_completion.cpp
@@ -1,4 +1,4 @@
-#include "plumfold_fake_answer.hpp"
+#include "plumfold_fake_completion.hpp"
 
 #include "plumfold/core/plumfold_hash.hpp"
 
@@ -11,7 +11,7 @@
     return 'w' + std::to_string(hash % words) + ' ';
 }
 
-std::string fakeAnswer(const std::string& prompt, const std::string& version, std::uint32_t tokens)
+std::string fakeCompletionText(const std::string& prompt, const std::string& version, std::uint32_t tokens)
 {
     std::string answer;
     for (std::uint32_t index = 0; index < tokens; ++index)
--- a/tests/fakes/plumfold_fake_answer.hpp
+++ b/tests/fakes/plumfold_fake_completion.hpp
@@ -9,6 +9,6 @@
 std::string fakeToken(const std::string& prompt, const std::string& version, std::uint32_t index);
 
 /// @return the whole answer.
-std::string fakeAnswer(const std::string& prompt, const std::string& version, std::uint32_t tokens);
+std::string fakeCompletionText(const std::string& prompt, const std::string& version, std::uint32_t tokens);
 
 } // namespace plumfold::fakes
--- a/tests/fakes/plumfold_fake_engine.cpp
+++ b/tests/fakes/plumfold_fake_engine.cpp
@@ -21,14 +21,14 @@
 
 using json = nlohmann::json;
 
-constexpr std::uint32_t coldSlowdown = 10;
+constexpr std::uint32_t coldPrefillFactor = 10;
 // What a cold engine needs before any first token, for instance to build its kernels.
-constexpr std::chrono::microseconds coldWarmUp { 150'000 };
+constexpr std::chrono::microseconds coldStartDelay { 150'000 };
 constexpr std::size_t kvBlockBytes = 4096;
 constexpr std::size_t maxBlockBytes = 1 << 20;
 
 // The bytes of a block follow from its hash, so an import can tell a wrong block.
-std::string kvBytes(std::uint64_t hash)
+std::string kvBlockContent(std::uint64_t hash)
 {
     std::string bytes;
     while (bytes.size() < kvBlockBytes)
@@ -37,9 +37,9 @@
     return bytes;
 }
 
-/// One HTTP exchange with a store.
+/// One HTTP sendStoreRequest with a store.
 /// @return the body, or nothing unless the answer was 200.
-std::unique_ptr<std::string> exchange(
+std::unique_ptr<std::string> sendStoreRequest(
     const std::string& method, const std::string& url, const std::string& body)
 {
     try {
@@ -63,7 +63,7 @@
 fake_engine::fake_engine(fake_options options)
     : m_options(std::move(options))
     , m_incarnation(runtime::randomNumber() >> 1 | 1)
-    , m_coldLeft(m_options.coldRequests)
+    , m_coldRequestsLeft(m_options.coldRequests)
 {
     if (!m_options.logFile.empty())
         m_log.open(m_options.logFile, std::ios::app);
@@ -85,17 +85,18 @@
     const std::string& prompt = request.at("prompt").get_ref<const std::string&>();
     bool wrongModel = request.at("model") != m_engine.m_options.model
         || request.at("version") != m_engine.m_options.version;
-    if (m_engine.m_faults.refuse || wrongModel) {
-        m_refused = true;
+    if (m_engine.m_faults.rejectRequests || wrongModel) {
+        m_rejected = true;
         return;
     }
     m_engine.log("run " + request.at("request_id").get<std::string>() + ' '
         + std::to_string(core::hashBytes(prompt)) + " running=" + std::to_string(m_engine.m_running)
-        + " cold=" + std::to_string(m_engine.m_coldLeft));
-    if (!m_engine.m_faults.crashOn.empty() && prompt.find(m_engine.m_faults.crashOn) != std::string::npos)
+        + " cold=" + std::to_string(m_engine.m_coldRequestsLeft));
+    if (!m_engine.m_faults.crashPromptText.empty()
+        && prompt.find(m_engine.m_faults.crashPromptText) != std::string::npos)
         std::_Exit(9);
     // A cold target falls over when more than it can bear arrives.
-    if (m_engine.m_coldLeft > 0 && m_engine.m_running + 1 > m_engine.m_options.coldLimit) {
+    if (m_engine.m_coldRequestsLeft > 0 && m_engine.m_running + 1 > m_engine.m_options.coldConcurrencyLimit) {
         m_engine.log("overload");
         std::_Exit(8);
     }
@@ -109,12 +110,12 @@
 
 fake_engine::run::~run()
 {
-    if (m_refused)
+    if (m_rejected)
         return;
     std::lock_guard lock(m_engine.m_mutex);
     --m_engine.m_running;
-    if (m_engine.m_coldLeft > 0)
-        --m_engine.m_coldLeft;
+    if (m_engine.m_coldRequestsLeft > 0)
+        --m_engine.m_coldRequestsLeft;
     m_engine.m_slotFree.notify_all();
 }
 
@@ -132,12 +133,12 @@
             ? 0
             : std::min(m_promptTokens, core::estimatePromptTokens(blocks * core::promptBlockBytes));
         uncached = m_promptTokens - m_cachedTokens;
-        m_engine.m_promptTokensSeen += m_promptTokens;
-        m_engine.m_cachedTokensSeen += m_cachedTokens;
+        m_engine.m_promptTokensTotal += m_promptTokens;
+        m_engine.m_cachedTokensTotal += m_cachedTokens;
         m_engine.cache(chain);
-        if (m_engine.m_coldLeft > 0) {
-            slowdown = coldSlowdown;
-            warmUp = coldWarmUp;
+        if (m_engine.m_coldRequestsLeft > 0) {
+            slowdown = coldPrefillFactor;
+            warmUp = coldStartDelay;
         }
     }
     auto time = std::chrono::microseconds(
@@ -187,12 +188,13 @@
     }
     std::uint32_t held = first;
     for (; held < wanted && held < chain.size(); ++held) {
-        auto bytes = exchange("GET", order.at("url").get<std::string>() + '/' + std::to_string(held), "");
+        auto bytes
+            = sendStoreRequest("GET", order.at("url").get<std::string>() + '/' + std::to_string(held), "");
         if (!bytes)
             break;
         std::lock_guard lock(m_mutex);
         m_bytesImported += bytes->size();
-        if (*bytes == kvBytes(chain[held]))
+        if (*bytes == kvBlockContent(chain[held]))
             continue;
         ++m_badBlocks;
         log("bad_block");
@@ -210,17 +212,17 @@
     std::uint32_t blocks = order.at("blocks");
     std::string url = order.at("url");
     for (std::uint32_t index = first; index < first + blocks; ++index) {
-        if (!exchange("PUT", url + '/' + std::to_string(index), kvBytes(chain.at(index))))
+        if (!sendStoreRequest("PUT", url + '/' + std::to_string(index), kvBlockContent(chain.at(index))))
             return;
         std::lock_guard lock(m_mutex);
         m_bytesExported += kvBlockBytes;
     }
-    exchange("DELETE", url, "");
+    sendStoreRequest("DELETE", url, "");
 }
 
 // ---------------------------------------------------------------- orders and faults
 
-json fake_engine::describe()
+json fake_engine::makeAnnouncement()
 {
     std::lock_guard lock(m_mutex);
     json models = json::array();
@@ -250,12 +252,12 @@
 void fake_engine::setFaults(const json& faults)
 {
     std::lock_guard lock(m_mutex);
-    m_faults.crashOn = faults.value("crash_on", "");
-    m_faults.cutAfter = faults.value("cut_after", 0u);
-    m_faults.stallAfter = faults.value("stall_after", 0u);
-    m_faults.refuse = faults.value("refuse", false);
+    m_faults.crashPromptText = faults.value("crash_on", "");
+    m_faults.cutAfterTokens = faults.value("cut_after", 0u);
+    m_faults.stallAfterTokens = faults.value("stall_after", 0u);
+    m_faults.rejectRequests = faults.value("refuse", false);
     if (faults.contains("cold"))
-        m_coldLeft = faults["cold"];
+        m_coldRequestsLeft = faults["cold"];
     if (faults.contains("version"))
         m_options.version = faults["version"];
     if (faults.contains("leaving"))
@@ -268,18 +270,18 @@
     return m_faults;
 }
 
-bool fake_engine::takeOrder(const json& order)
+bool fake_engine::acceptOrder(const json& order)
 {
     std::lock_guard lock(m_mutex);
     std::uint64_t fence = order.at("fence");
     log("order " + order.at("version").get<std::string>() + " fence=" + std::to_string(fence));
-    if (fence < m_fence && !m_options.ignoreFencing)
+    if (fence < m_highestFence && !m_options.ignoreFencing)
         return false;
-    m_fence = std::max(m_fence, fence);
+    m_highestFence = std::max(m_highestFence, fence);
     return true;
 }
 
-void fake_engine::load(const json& order)
+void fake_engine::loadVersion(const json& order)
 {
     std::this_thread::sleep_for(std::chrono::milliseconds(m_options.loadMs));
     std::lock_guard lock(m_mutex);
@@ -307,9 +309,9 @@
         { "runs", m_runs },
         { "running", m_running },
         { "queued", m_queued },
-        { "cold_left", m_coldLeft },
-        { "prompt_tokens", m_promptTokensSeen },
-        { "cached_tokens", m_cachedTokensSeen },
+        { "cold_left", m_coldRequestsLeft },
+        { "prompt_tokens", m_promptTokensTotal },
+        { "cached_tokens", m_cachedTokensTotal },
         { "bytes_imported", m_bytesImported },
         { "bytes_exported", m_bytesExported },
         { "bad_blocks", m_badBlocks },
--- a/tests/fakes/plumfold_fake_engine.hpp
+++ b/tests/fakes/plumfold_fake_engine.hpp
@@ -17,10 +17,10 @@
 
 /// Faults that tests switch on with POST /fault.
 struct engine_faults {
-    std::string crashOn; ///< A prompt that holds this text ends the process.
-    std::uint32_t cutAfter = 0; ///< Cuts streams after so many tokens.
-    std::uint32_t stallAfter = 0; ///< Streams stop, without an end, after so many tokens.
-    bool refuse = false; ///< Answers "not run".
+    std::string crashPromptText; ///< A prompt that holds this text ends the process.
+    std::uint32_t cutAfterTokens = 0; ///< Cuts streams after so many tokens.
+    std::uint32_t stallAfterTokens = 0; ///< Streams stop, without an end, after so many tokens.
+    bool rejectRequests = false; ///< Answers "not run".
 };
 
 /// Model of a model engine: batch, prefix cache, cold start, KV export and import. It stands in for the real
@@ -34,7 +34,7 @@
     public:
         run(fake_engine& engine, const nlohmann::json& request);
         ~run();
-        bool refused() const { return m_refused; }
+        bool rejected() const { return m_rejected; }
         void prefill();
         std::uint32_t promptTokens() const { return m_promptTokens; }
         std::uint32_t cachedTokens() const { return m_cachedTokens; }
@@ -42,19 +42,19 @@
     private:
         fake_engine& m_engine;
         const nlohmann::json& m_request;
-        bool m_refused = false;
+        bool m_rejected = false;
         std::uint32_t m_promptTokens = 0;
         std::uint32_t m_cachedTokens = 0;
     };
 
     const fake_options& options() const { return m_options; }
     std::uint64_t incarnation() const { return m_incarnation; }
-    nlohmann::json describe();
+    nlohmann::json makeAnnouncement();
     void setFaults(const nlohmann::json& faults);
     engine_faults faults();
     /// @return whether the order is taken; load() must follow then.
-    bool takeOrder(const nlohmann::json& order);
-    void load(const nlohmann::json& order);
+    bool acceptOrder(const nlohmann::json& order);
+    void loadVersion(const nlohmann::json& order);
     void cancel(const std::string& requestId);
     bool isCancelled(const std::string& requestId);
     void exportBlocks(const nlohmann::json& order);
@@ -72,7 +72,7 @@
     std::condition_variable m_slotFree;
     std::uint32_t m_running = 0;
     std::uint32_t m_queued = 0;
-    std::uint32_t m_coldLeft = 0;
+    std::uint32_t m_coldRequestsLeft = 0;
     std::atomic<bool> m_leaving { false };
     engine_faults m_faults;
     std::set<std::string> m_cancelled;
@@ -81,10 +81,10 @@
     std::vector<std::uint64_t> m_added; // cache events not yet published
     std::vector<std::uint64_t> m_removed;
     std::uint64_t m_eventSequence = 0;
-    std::uint64_t m_fence = 0; // highest fencing number of an order
+    std::uint64_t m_highestFence = 0; // highest fencing number of an order
     std::uint64_t m_runs = 0;
-    std::uint64_t m_promptTokensSeen = 0;
-    std::uint64_t m_cachedTokensSeen = 0;
+    std::uint64_t m_promptTokensTotal = 0;
+    std::uint64_t m_cachedTokensTotal = 0;
     std::uint64_t m_bytesImported = 0;
     std::uint64_t m_bytesExported = 0;
     std::uint64_t m_badBlocks = 0;
--- a/tests/fakes/plumfold_fake_engine_main.cpp
+++ b/tests/fakes/plumfold_fake_engine_main.cpp
@@ -1,7 +1,7 @@
 // A fake model engine as a process of its own.
 
 #include "plumfold_announcer.hpp"
-#include "plumfold_fake_answer.hpp"
+#include "plumfold_fake_completion.hpp"
 #include "plumfold_fake_engine.hpp"
 #include "plumfold_fake_http.hpp"
 
@@ -40,25 +40,25 @@
             complete(in, response);
         } else if (uri == "/v1/cancel") {
             m_engine.cancel(in.at("request_id"));
-            fakes::answerJson(response, json::object());
+            fakes::sendJsonResponse(response, json::object());
         } else if (uri == "/v1/kv/export") {
-            fakes::answerJson(response, json::object());
+            fakes::sendJsonResponse(response, json::object());
             m_engine.exportBlocks(in);
         } else if (uri == "/v1/orders") {
-            bool taken = m_engine.takeOrder(in);
-            fakes::answerJson(
+            bool taken = m_engine.acceptOrder(in);
+            fakes::sendJsonResponse(
                 response, json::object(), taken ? HTTPResponse::HTTP_OK : HTTPResponse::HTTP_CONFLICT);
             if (taken)
-                m_engine.load(in);
+                m_engine.loadVersion(in);
         } else if (uri == "/healthz") {
-            fakes::answerJson(response, json { { "incarnation", m_engine.incarnation() } });
+            fakes::sendJsonResponse(response, json { { "incarnation", m_engine.incarnation() } });
         } else if (uri == "/fault") {
             m_engine.setFaults(in);
-            fakes::answerJson(response, json::object());
+            fakes::sendJsonResponse(response, json::object());
         } else if (uri == "/counts") {
-            fakes::answerJson(response, m_engine.counts());
+            fakes::sendJsonResponse(response, m_engine.counts());
         } else {
-            fakes::answerJson(response, json::object(), HTTPResponse::HTTP_NOT_FOUND);
+            fakes::sendJsonResponse(response, json::object(), HTTPResponse::HTTP_NOT_FOUND);
         }
     }
 
@@ -66,8 +66,9 @@
     void complete(const json& in, Poco::Net::HTTPServerResponse& response)
     {
         fake_engine::run run(m_engine, in);
-        if (run.refused()) {
-            fakes::answerJson(response, json { { "ran", false } }, HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
+        if (run.rejected()) {
+            fakes::sendJsonResponse(
+                response, json { { "ran", false } }, HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
             return;
         }
         run.prefill();
@@ -80,10 +81,11 @@
         std::string requestId = in.at("request_id");
         auto faults = m_engine.faults();
         for (std::uint32_t index = in.value("resume_from", 0u); index < maxTokens; ++index) {
-            bool cut = faults.cutAfter > 0 && index >= faults.cutAfter;
+            bool cut = faults.cutAfterTokens > 0 && index >= faults.cutAfterTokens;
             if (cut || !out.good() || m_engine.isCancelled(requestId))
                 throw Poco::IOException("cut"); // closes the connection without an end
-            while (faults.stallAfter > 0 && index >= faults.stallAfter && !m_engine.isCancelled(requestId))
+            while (faults.stallAfterTokens > 0 && index >= faults.stallAfterTokens
+                && !m_engine.isCancelled(requestId))
                 std::this_thread::sleep_for(std::chrono::milliseconds(10));
             json event { { "token_index", index },
                 { "choices",
@@ -111,7 +113,7 @@
     limits.maxConnections = 512;
     runtime::http_listener http(
         engine.options().address, new fakes::handler_factory<engine_handler, fake_engine>(engine), limits);
-    fakes::announcer announcer(engine.options(), [&] { return engine.describe(); });
+    fakes::announcer announcer(engine.options(), [&] { return engine.makeAnnouncement(); });
     runtime::waitForSignal();
     return 0;
 }
--- a/tests/fakes/plumfold_fake_http.hpp
+++ b/tests/fakes/plumfold_fake_http.hpp
@@ -27,7 +27,7 @@
 };
 
 /// Answers with a JSON body.
-inline void answerJson(Poco::Net::HTTPServerResponse& response, const nlohmann::json& body,
+inline void sendJsonResponse(Poco::Net::HTTPServerResponse& response, const nlohmann::json& body,
     Poco::Net::HTTPResponse::HTTPStatus status = Poco::Net::HTTPResponse::HTTP_OK)
 {
     std::string text = body.dump();
--- a/tests/fakes/plumfold_fake_options.cpp
+++ b/tests/fakes/plumfold_fake_options.cpp
@@ -23,7 +23,7 @@
     app.add_option("--token-us", options.tokenMicroseconds);
     app.add_option("--cache-blocks", options.cacheBlocks);
     app.add_option("--cold-requests", options.coldRequests);
-    app.add_option("--cold-limit", options.coldLimit);
+    app.add_option("--cold-limit", options.coldConcurrencyLimit);
     app.add_option("--announce-ms", options.announceMs);
     app.add_option("--link-bytes-per-second", options.linkBytesPerSecond);
     app.add_flag("--ignore-fencing", options.ignoreFencing);
--- a/tests/fakes/plumfold_fake_options.hpp
+++ b/tests/fakes/plumfold_fake_options.hpp
@@ -21,7 +21,7 @@
     std::uint32_t tokenMicroseconds = 2000;
     std::uint32_t cacheBlocks = 4096;
     std::uint32_t coldRequests = 0; ///< Requests that a cold start takes.
-    std::uint32_t coldLimit = 1; ///< Requests at the same time that crash a cold target.
+    std::uint32_t coldConcurrencyLimit = 1; ///< Requests at the same time that crash a cold target.
     std::uint32_t announceMs = 250;
     std::uint32_t linkBytesPerSecond = 125'000'000;
     bool ignoreFencing = false; ///< Takes orders whatever their number.
--- a/tests/fakes/plumfold_fake_service_main.cpp
+++ b/tests/fakes/plumfold_fake_service_main.cpp
@@ -44,9 +44,9 @@
     std::ofstream log; // survives a kill, unlike the map
     std::atomic<int> running { 0 };
     std::atomic<int> delayMs { 0 };
-    std::atomic<bool> dropAnswer { false }; // executes, then closes the connection
-    std::atomic<bool> refuse { false };
-    std::atomic<bool> dieAfterRun { false };
+    std::atomic<bool> dropResponse { false }; // executes, then closes the connection
+    std::atomic<bool> rejectRequests { false };
+    std::atomic<bool> crashAfterRun { false };
     std::atomic<bool> leaving { false };
 };
 
@@ -65,13 +65,13 @@
         if (uri.starts_with("/v1/services/"))
             execute(request, *body, response);
         else if (uri == "/healthz")
-            fakes::answerJson(response, json { { "incarnation", m_service.incarnation } });
+            fakes::sendJsonResponse(response, json { { "incarnation", m_service.incarnation } });
         else if (uri == "/executions")
-            fakes::answerJson(response, executions());
+            fakes::sendJsonResponse(response, executions());
         else if (uri == "/fault")
             setFaults(json::parse(*body), response);
         else
-            fakes::answerJson(response, json::object(), HTTPResponse::HTTP_NOT_FOUND);
+            fakes::sendJsonResponse(response, json::object(), HTTPResponse::HTTP_NOT_FOUND);
     }
 
 private:
@@ -84,19 +84,19 @@
     void setFaults(const json& in, Poco::Net::HTTPServerResponse& response)
     {
         m_service.delayMs = in.value("delay_ms", 0);
-        m_service.dropAnswer = in.value("drop_answer", false);
-        m_service.refuse = in.value("refuse", false);
-        m_service.dieAfterRun = in.value("die_after_run", false);
+        m_service.dropResponse = in.value("drop_answer", false);
+        m_service.rejectRequests = in.value("refuse", false);
+        m_service.crashAfterRun = in.value("die_after_run", false);
         m_service.leaving = in.value("leaving", false);
-        fakes::answerJson(response, json::object());
+        fakes::sendJsonResponse(response, json::object());
     }
 
     void execute(Poco::Net::HTTPServerRequest& request, const std::string& body,
         Poco::Net::HTTPServerResponse& response)
     {
-        if (m_service.refuse) {
+        if (m_service.rejectRequests) {
             response.set("X-Ran", "false");
-            fakes::answerJson(response, json::object(), HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
+            fakes::sendJsonResponse(response, json::object(), HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
             return;
         }
         ++m_service.running;
@@ -109,14 +109,14 @@
             if (m_service.log.is_open())
                 m_service.log << key << std::endl;
         }
-        if (m_service.dieAfterRun)
+        if (m_service.crashAfterRun)
             std::_Exit(9);
         --m_service.running;
-        if (m_service.dropAnswer) {
+        if (m_service.dropResponse) {
             static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket().shutdown();
             return;
         }
-        fakes::answerJson(
+        fakes::sendJsonResponse(
             response, json { { "done", key }, { "execution", count }, { "bytes", body.size() } });
     }
 
--- a/tests/fakes/plumfold_fake_verify_main.cpp
+++ b/tests/fakes/plumfold_fake_verify_main.cpp
@@ -1,7 +1,7 @@
 // Compares recorded answers with what the fake engines produce for the same prompts.
 // Arguments: the record file and the weight versions that may have answered.
 
-#include "plumfold_fake_answer.hpp"
+#include "plumfold_fake_completion.hpp"
 
 #include <nlohmann/json.hpp>
 
@@ -16,7 +16,7 @@
     }
     std::ifstream in(argv[1]);
     std::string line;
-    int whole = 0;
+    int matching = 0;
     int wrong = 0;
     while (std::getline(in, line)) {
         auto record = nlohmann::json::parse(line);
@@ -25,11 +25,11 @@
         bool matches = false;
         for (int index = 2; index < argc; ++index) {
             matches = matches
-                || plumfold::fakes::fakeAnswer(record.at("prompt"), argv[index], record.at("tokens"))
+                || plumfold::fakes::fakeCompletionText(record.at("prompt"), argv[index], record.at("tokens"))
                     == record.at("text");
         }
-        ++(matches ? whole : wrong);
+        ++(matches ? matching : wrong);
     }
-    std::cout << "answers_whole=" << whole << " answers_wrong=" << wrong << '\n';
+    std::cout << "answers_whole=" << matching << " answers_wrong=" << wrong << '\n';
     return wrong == 0 ? 0 : 1;
 }
--- a/tests/fakes/plumfold_forwarding_demo_main.cpp
+++ b/tests/fakes/plumfold_forwarding_demo_main.cpp
@@ -33,7 +33,7 @@
 }
 
 /// @return how often the targets ran a request.
-std::size_t runs(const std::vector<scripted_target*>& targets, const std::string& path)
+std::size_t executionCount(const std::vector<scripted_target*>& targets, const std::string& path)
 {
     std::size_t count = 0;
     for (const auto* target : targets) {
@@ -66,7 +66,7 @@
     expect(stream.isComplete && stream.body.find("id: 6") != std::string::npos,
         "a stream whose target breaks off goes on at another, each event once");
     auto lost = system.request(2, "/shop/drop");
-    expect(lost.status == 502 && runs(targets, "/shop/drop") == 1,
+    expect(lost.status == 502 && executionCount(targets, "/shop/drop") == 1,
         "an order whose answer is lost is not sent again, and its caller is told that it may have run");
     system.process("c1").kill();
     expect(sendOrders(system) == orders, "orders go on when a control VM is killed");
--- a/tests/process/plumfold_answers_tests.cpp
+++ b/tests/process/plumfold_answers_tests.cpp
@@ -1,6 +1,6 @@
 #include "support/plumfold_test_system.hpp"
 
-#include "plumfold_fake_answer.hpp"
+#include "plumfold_fake_completion.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -58,7 +58,7 @@
     auto received = answer.get();
     CHECK(received.ok());
     CHECK(received.tokens == tokens);
-    CHECK(received.text == fakes::fakeAnswer(prompt, "v1", tokens));
+    CHECK(received.text == fakes::fakeCompletionText(prompt, "v1", tokens));
 }
 
 TEST_CASE_METHOD(two_domains, "Concurrent callers receive their own responses, streamed or not", "[answers]")
@@ -73,7 +73,7 @@
         auto answer = answers[static_cast<std::size_t>(index)].get();
         INFO(answer.status << ' ' << answer.body << ' ' << answer.failure);
         CHECK(answer.ok());
-        CHECK(answer.text == fakes::fakeAnswer(prompt + std::to_string(index), "v1", 20));
+        CHECK(answer.text == fakes::fakeCompletionText(prompt + std::to_string(index), "v1", 20));
     }
 }
 
@@ -162,7 +162,7 @@
     two_domains, "A new request never uses KV blocks or weights of another version", "[answers][version]")
 {
     std::string longPrompt(8192, 'v');
-    REQUIRE(complete(1, longPrompt).text == fakes::fakeAnswer(longPrompt, "v1", 8));
+    REQUIRE(complete(1, longPrompt).text == fakes::fakeCompletionText(longPrompt, "v1", 8));
     auto inProgress = std::async(std::launch::async, [&] { return complete(1, prompt, 400); });
     std::string busy = busyEngine();
     std::string idle = busy == "e1" ? "e2" : "e1";
@@ -171,8 +171,8 @@
     waitForRevision(1, 8);
     CHECK(eventually([&] { return complete(1, longPrompt).ok(); }));
     auto fresh = complete(1, longPrompt);
-    CHECK(fresh.text == fakes::fakeAnswer(longPrompt, "v2", 8));
-    CHECK(inProgress.get().text == fakes::fakeAnswer(prompt, "v1", 400));
+    CHECK(fresh.text == fakes::fakeCompletionText(longPrompt, "v2", 8));
+    CHECK(inProgress.get().text == fakes::fakeCompletionText(prompt, "v1", 400));
 }
 
 TEST_CASE_METHOD(two_domains,
--- a/tests/process/plumfold_orders_tests.cpp
+++ b/tests/process/plumfold_orders_tests.cpp
@@ -1,6 +1,6 @@
 #include "support/plumfold_test_system.hpp"
 
-#include "plumfold_fake_answer.hpp"
+#include "plumfold_fake_completion.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -20,7 +20,8 @@
     for (int entry : { 1, 2 })
         waitForTargets(entry, 3);
     configure({ "version", "put", "base", "v2" });
-    CHECK(eventually([&] { return complete(1, "hello").text == fakes::fakeAnswer("hello", "v2", 8); }));
+    CHECK(
+        eventually([&] { return complete(1, "hello").text == fakes::fakeCompletionText("hello", "v2", 8); }));
     auto ordered = [&](const std::string& name) {
         auto lines = logOf(name);
         return std::count_if(
@@ -32,7 +33,8 @@
         process("entry-1").kill();
         startEntry(1);
         configure({ "version", "put", "base", "v3" });
-        CHECK(eventually([&] { return complete(1, "hello").text == fakes::fakeAnswer("hello", "v3", 8); }));
+        CHECK(eventually(
+            [&] { return complete(1, "hello").text == fakes::fakeCompletionText("hello", "v3", 8); }));
     }
 }
 
--- a/tests/process/plumfold_service_moves_tests.cpp
+++ b/tests/process/plumfold_service_moves_tests.cpp
@@ -1,6 +1,6 @@
 #include "support/plumfold_test_system.hpp"
 
-#include "plumfold_fake_answer.hpp"
+#include "plumfold_fake_completion.hpp"
 
 #include <catch2/catch.hpp>
 
@@ -51,7 +51,7 @@
             auto answer = m_system.complete(
                 m_entries[static_cast<std::size_t>(count) % m_entries.size()], prompt, 10);
             std::lock_guard lock(m_mutex);
-            if (answer.ok() && answer.text == fakes::fakeAnswer(prompt, "v1", 10)) {
+            if (answer.ok() && answer.text == fakes::fakeCompletionText(prompt, "v1", 10)) {
                 ++served;
             } else if (answer.errorRan == "not_run" && answer.headers.contains("Retry-After")) {
                 ++refused;
@@ -188,7 +188,7 @@
     CHECK((late.status == 0 || late.errorType == "shutting_down"));
     CHECK((late.status == 0 || late.errorRan == "not_run"));
     for (auto& stream : streams)
-        CHECK(stream.get().text == fakes::fakeAnswer("long", "v1", tokens));
+        CHECK(stream.get().text == fakes::fakeCompletionText("long", "v1", tokens));
     CHECK(stopped.get() == 0);
     CHECK(complete(2, "next").ok());
 }
@@ -253,7 +253,7 @@
         startEngine(name, number);
     }
     CHECK(eventually(
-        [&] { return complete(1, conversation).text == fakes::fakeAnswer(conversation, "v1", 8); }));
+        [&] { return complete(1, conversation).text == fakes::fakeCompletionText(conversation, "v1", 8); }));
     for (const char* name : { "e1", "e2" })
         CHECK(askTarget(name, "/counts").value("bad_blocks", 1) == 0);
 }
--- a/tests/process/support/plumfold_test_system.cpp
+++ b/tests/process/support/plumfold_test_system.cpp
@@ -19,7 +19,7 @@
 constexpr int controlVms = 3;
 constexpr int pollMilliseconds = 20;
 
-const char* domainName(int number)
+const char* failureDomainName(int number)
 {
     return number == 1 ? "east" : "west";
 }
@@ -31,8 +31,8 @@
     // The process id makes the addresses of test runs at the same time differ.
     auto id = static_cast<unsigned>(::getpid());
     m_network = "127." + std::to_string(1 + id / 250 % 250) + '.' + std::to_string(1 + id % 250);
-    std::string shape = (std::filesystem::temp_directory_path() / "plumfold-test-XXXXXX").string();
-    m_folder = ::mkdtemp(shape.data());
+    std::string folderTemplate = (std::filesystem::temp_directory_path() / "plumfold-test-XXXXXX").string();
+    m_folder = ::mkdtemp(folderTemplate.data());
 }
 
 test_system::~test_system()
@@ -61,13 +61,13 @@
 
 void test_system::writeSettings(const std::string& name, int domain, const std::string& role, json body)
 {
-    if (m_extra.contains(role))
-        body.update(m_extra[role]);
+    if (m_extraSettings.contains(role))
+        body.update(m_extraSettings[role]);
     json settings {
         { "process",
-            { { "name", name }, { "failureDomain", domainName(domain) }, { "dataFolder", folder(name) },
-                { "logFile", folder(name) + ".log" }, { "clusterSecret", "test-secret" },
-                { "gracePeriodMs", 8000 } } },
+            { { "name", name }, { "failureDomain", failureDomainName(domain) },
+                { "dataFolder", folder(name) }, { "logFile", folder(name) + ".log" },
+                { "clusterSecret", "test-secret" }, { "gracePeriodMs", 8000 } } },
         { role, std::move(body) },
     };
     std::ofstream(folder(name) + ".json") << settings.dump(2);
@@ -158,7 +158,7 @@
     if (!m_targetAddresses.contains(name))
         m_targetAddresses[name] = address(m_nextTarget++, 9000);
     std::vector<std::string> command { PLUMFOLD_FAKE_ENGINE, "--name", name, "--address",
-        m_targetAddresses[name], "--failure-domain", domainName(domain), "--entry",
+        m_targetAddresses[name], "--failure-domain", failureDomainName(domain), "--entry",
         address(20 + domain, 8001), "--announce-ms", "100", "--log", folder(name) + ".runs" };
     command.insert(command.end(), options.begin(), options.end());
     m_processes[name] = test_process(std::move(command), folder(name) + ".out");
@@ -168,11 +168,11 @@
 {
     if (!m_targetAddresses.contains(name))
         m_targetAddresses[name] = address(m_nextTarget++, 9000);
-    m_processes[name]
-        = test_process({ PLUMFOLD_FAKE_SERVICE, "--name", name, "--address", m_targetAddresses[name],
-                           "--failure-domain", domainName(domain), "--entry", address(20 + domain, 8001),
-                           "--service", "orders", "--announce-ms", "100", "--log", folder(name) + ".runs" },
-            folder(name) + ".out");
+    m_processes[name] = test_process(
+        { PLUMFOLD_FAKE_SERVICE, "--name", name, "--address", m_targetAddresses[name], "--failure-domain",
+            failureDomainName(domain), "--entry", address(20 + domain, 8001), "--service", "orders",
+            "--announce-ms", "100", "--log", folder(name) + ".runs" },
+        folder(name) + ".out");
 }
 
 // ---------------------------------------------------------------- operators
--- a/tests/process/support/plumfold_test_system.hpp
+++ b/tests/process/support/plumfold_test_system.hpp
@@ -30,7 +30,10 @@
     void startControl();
     void startControlVm(int number);
     /// Settings that later started processes get, below their role.
-    void extraSettings(const std::string& role, nlohmann::json more) { m_extra[role] = std::move(more); }
+    void extraSettings(const std::string& role, nlohmann::json more)
+    {
+        m_extraSettings[role] = std::move(more);
+    }
     void startEntry(int number);
     void startStore();
     void startEngine(const std::string& name, int domain, std::vector<std::string> options = {});
@@ -75,7 +78,7 @@
     std::filesystem::path m_folder;
     std::string m_network;
     int m_nextTarget = 60;
-    std::map<std::string, nlohmann::json> m_extra;
+    std::map<std::string, nlohmann::json> m_extraSettings;
     std::map<std::string, std::string> m_targetAddresses;
     std::map<std::string, test_process> m_processes;
 };
