--- a/tests/fakes/plumfold_announcer.cpp
+++ b/tests/fakes/plumfold_announcer.cpp
@@ -29,7 +29,7 @@
         Poco::Net::HTTPResponse response;
         session.receiveResponse(response);
     } catch (const Poco::Exception&) {
-        // The entry is down; the next announcement may reach it.
+        // The entry is down. The next announcement is its retry.
     }
 }
 
--- a/tests/fakes/plumfold_announcer.hpp
+++ b/tests/fakes/plumfold_announcer.hpp
@@ -10,11 +10,15 @@
 
 namespace plumfold::fakes {
 
-/// Announces a fake target to the entries of its failure domain until it ends.
+/// Announces a fake target to its entries periodically, on a thread of its own, until destroyed.
 class announcer {
 public:
-    /// @param makeAnnouncement gives the present announcement without its sequence number.
+    /// Starts announcing.
+    /// @param options name the entries and the interval.
+    /// @param makeAnnouncement returns the current announcement without its sequence number. Called on the
+    /// announcer's thread.
     announcer(const fake_options& options, std::function<nlohmann::json()> makeAnnouncement);
+    /// Stops announcing and joins the thread.
     ~announcer();
 
 private:
--- a/tests/fakes/plumfold_fake_engine.cpp
+++ b/tests/fakes/plumfold_fake_engine.cpp
@@ -22,12 +22,12 @@
 using json = nlohmann::json;
 
 constexpr std::uint32_t coldPrefillFactor = 10;
-// What a cold engine needs before any first token, for instance to build its kernels.
+// Fixed delay before the first token of a cold engine, for example to compile its kernels.
 constexpr std::chrono::microseconds coldStartDelay { 150'000 };
 constexpr std::size_t kvBlockBytes = 4096;
 constexpr std::size_t maxBlockBytes = 1 << 20;
 
-// The bytes of a block follow from its hash, so an import can tell a wrong block.
+// Derives the bytes of a block from its hash, so that an import detects a wrong block.
 std::string kvBlockContent(std::uint64_t hash)
 {
     std::string bytes;
@@ -37,8 +37,8 @@
     return bytes;
 }
 
-/// One HTTP sendStoreRequest with a store.
-/// @return the body, or nothing unless the answer was 200.
+/// Sends one HTTP request to a store and waits for the response.
+/// @return the body, or null on a network error or any status but 200.
 std::unique_ptr<std::string> sendStoreRequest(
     const std::string& method, const std::string& url, const std::string& body)
 {
@@ -95,7 +95,7 @@
     if (!m_engine.m_faults.crashPromptText.empty()
         && prompt.find(m_engine.m_faults.crashPromptText) != std::string::npos)
         std::_Exit(9);
-    // A cold target falls over when more than it can bear arrives.
+    // A cold target crashes when more requests run at once than its limit.
     if (m_engine.m_coldRequestsLeft > 0 && m_engine.m_running + 1 > m_engine.m_options.coldConcurrencyLimit) {
         m_engine.log("overload");
         std::_Exit(8);
@@ -220,7 +220,7 @@
     sendStoreRequest("DELETE", url, "");
 }
 
-// ---------------------------------------------------------------- orders and faults
+// ---------------------------------------------------------------- orders, faults and counters
 
 json fake_engine::makeAnnouncement()
 {
--- a/tests/fakes/plumfold_fake_engine_main.cpp
+++ b/tests/fakes/plumfold_fake_engine_main.cpp
@@ -1,4 +1,4 @@
-// A fake model engine as a process of its own.
+// Runs a fake LLM engine as a process.
 
 #include "plumfold_announcer.hpp"
 #include "plumfold_fake_completion.hpp"
@@ -83,7 +83,7 @@
         for (std::uint32_t index = in.value("resume_from", 0u); index < maxTokens; ++index) {
             bool cut = faults.cutAfterTokens > 0 && index >= faults.cutAfterTokens;
             if (cut || !out.good() || m_engine.isCancelled(requestId))
-                throw Poco::IOException("cut"); // closes the connection without an end
+                throw Poco::IOException("cut"); // closes the connection before the final events
             while (faults.stallAfterTokens > 0 && index >= faults.stallAfterTokens
                 && !m_engine.isCancelled(requestId))
                 std::this_thread::sleep_for(std::chrono::milliseconds(10));
--- a/tests/fakes/plumfold_fake_http.hpp
+++ b/tests/fakes/plumfold_fake_http.hpp
@@ -8,7 +8,7 @@
 
 namespace plumfold::fakes {
 
-/// Makes a handler over a shared state for every request.
+/// Creates one handler per request. All handlers share one state, which must outlive the factory.
 template <class Handler, class State>
 class handler_factory final : public Poco::Net::HTTPRequestHandlerFactory {
 public:
@@ -26,7 +26,7 @@
     State& m_state;
 };
 
-/// Answers with a JSON body.
+/// Sends a response with a JSON body and its content length.
 inline void sendJsonResponse(Poco::Net::HTTPServerResponse& response, const nlohmann::json& body,
     Poco::Net::HTTPResponse::HTTPStatus status = Poco::Net::HTTPResponse::HTTP_OK)
 {
--- a/tests/fakes/plumfold_fake_options.cpp
+++ b/tests/fakes/plumfold_fake_options.cpp
@@ -9,7 +9,7 @@
 fake_options parseFakeOptions(int argc, char** argv)
 {
     fake_options options;
-    CLI::App app { "a fake target for plumfold's tests" };
+    CLI::App app { "fake target for the tests of plumfold" };
     app.add_option("--name", options.name)->required();
     app.add_option("--address", options.address)->required();
     app.add_option("--failure-domain", options.failureDomain)->required();
--- a/tests/fakes/plumfold_fake_service_main.cpp
+++ b/tests/fakes/plumfold_fake_service_main.cpp
@@ -1,4 +1,4 @@
-// A fake plain service as a process of its own. It counts the executions of each idempotency key.
+// Runs a fake service for plain requests as a process. Counts the executions of each idempotency key.
 
 #include "plumfold_announcer.hpp"
 #include "plumfold_fake_http.hpp"
@@ -27,7 +27,7 @@
 
 constexpr std::size_t maxBodyBytes = 1 << 20;
 
-/// State of the service, with the faults that tests switch on with POST /fault.
+/// State of the service and the faults that tests inject with POST /fault.
 struct fake_service {
     explicit fake_service(fakes::fake_options given)
         : options(std::move(given))
@@ -41,10 +41,10 @@
     std::uint64_t incarnation;
     std::mutex mutex;
     std::map<std::string, int> executions; // by idempotency key
-    std::ofstream log; // survives a kill, unlike the map
+    std::ofstream log; // one idempotency key per execution; survives a crash, unlike the map
     std::atomic<int> running { 0 };
     std::atomic<int> delayMs { 0 };
-    std::atomic<bool> dropResponse { false }; // executes, then closes the connection
+    std::atomic<bool> dropResponse { false }; // disconnects after execution
     std::atomic<bool> rejectRequests { false };
     std::atomic<bool> crashAfterRun { false };
     std::atomic<bool> leaving { false };
--- a/tests/fakes/plumfold_fake_verify_main.cpp
+++ b/tests/fakes/plumfold_fake_verify_main.cpp
@@ -1,5 +1,5 @@
-// Compares recorded answers with what the fake engines produce for the same prompts.
-// Arguments: the record file and the weight versions that may have answered.
+// Compares recorded responses with what the fake engines generate for the same prompts.
+// Arguments: the record file and the weight versions that may have generated the responses.
 
 #include "plumfold_fake_completion.hpp"
 
--- a/tests/fakes/plumfold_forwarding_demo_main.cpp
+++ b/tests/fakes/plumfold_forwarding_demo_main.cpp
@@ -1,5 +1,5 @@
-// Serves requests through the forwarding path of the users' platform: three control VMs that form themselves,
-// two entries and three scripted targets, all on loopback. Part of tools/demo.sh.
+// Forwards requests through the users' platform on loopback: three control VMs that bootstrap automatically,
+// two entries and three scripted targets. Part of tools/demo.sh.
 
 #include "support/plumfold_forwarding_system.hpp"
 
@@ -20,8 +20,8 @@
         std::exit(1);
 }
 
-/// Sends orders through both entries.
-/// @return how many were answered whole.
+/// Sends orders through both entries in turn.
+/// @return the number of complete responses.
 int sendOrders(forwarding_system& system)
 {
     int served = 0;
@@ -32,7 +32,7 @@
     return served;
 }
 
-/// @return how often the targets ran a request.
+/// @return how often all targets together received requests for a path.
 std::size_t executionCount(const std::vector<scripted_target*>& targets, const std::string& path)
 {
     std::size_t count = 0;
@@ -51,7 +51,7 @@
     for (int number = 1; number <= 3; ++number)
         system.startControl(number);
     expect(system.putDeployment(1, system.deployment(3)),
-        "the control VMs formed a group and took a configuration");
+        "the control VMs bootstrapped and accepted a configuration");
     for (int number = 1; number <= 2; ++number)
         system.startEntry(number);
     std::vector<scripted_target*> targets;
@@ -61,16 +61,17 @@
     for (int number = 1; number <= 2; ++number)
         system.waitForTarget(number);
 
-    expect(sendOrders(system) == orders, "orders are answered whole through both entries");
+    expect(sendOrders(system) == orders, "orders receive complete responses through both entries");
     auto stream = system.request(1, "/words/events-cut");
     expect(stream.isComplete && stream.body.find("id: 6") != std::string::npos,
-        "a stream whose target breaks off goes on at another, each event once");
+        "a stream that its target cuts resumes at another target, with each event delivered once");
     auto lost = system.request(2, "/shop/drop");
     expect(lost.status == 502 && executionCount(targets, "/shop/drop") == 1,
-        "an order whose answer is lost is not sent again, and its caller is told that it may have run");
+        "an order whose response is lost is not retried, and its caller learns that it may have run");
     system.process("c1").kill();
-    expect(sendOrders(system) == orders, "orders go on when a control VM is killed");
-    expect(system.putDeployment(2, system.deployment(4)), "the other two take the next configuration");
+    expect(sendOrders(system) == orders, "orders are served after a control VM was killed");
+    expect(system.putDeployment(2, system.deployment(4)),
+        "the other two control VMs accept the next configuration");
     for (const char* name : { "n1", "n2", "c2", "c3" })
         expect(system.process(name).stop() == 0, "a process stops cleanly");
     return 0;
