--- a/tests/process/support/plumfold_test_process.hpp
+++ b/tests/process/support/plumfold_test_process.hpp
@@ -6,12 +6,14 @@
 
 namespace plumfold::tests {
 
-/// A process that a test has started. Ends with the object.
+/// A child process of a test. Killed when the object is destroyed.
 class test_process {
 public:
     test_process() = default;
+    /// Starts a process.
     /// @param command the program and its arguments.
-    /// @param outputFile takes standard output and error.
+    /// @param outputFile file to which standard output and error are appended.
+    /// @throws std::runtime_error when the program cannot be started.
     test_process(std::vector<std::string> command, const std::string& outputFile);
     ~test_process();
     test_process(test_process&& other) noexcept;
@@ -22,11 +24,14 @@
     int id() const { return m_pid; }
     /// Sends a signal to this process only.
     void signal(int number) const;
+    /// Sends SIGKILL and waits for the end.
     void kill();
+    /// Suspends the process with SIGSTOP.
     void pause() const;
+    /// Resumes the process with SIGCONT.
     void resume() const;
-    /// Sends SIGTERM and waits.
-    /// @return the exit code; -1 when it did not end in time and was killed, or ended by a signal.
+    /// Sends SIGTERM and waits up to 20 s, then kills the process.
+    /// @return the exit code; -1 when the process was killed or ended by a signal.
     int stop();
 
 private:
--- a/tests/process/support/plumfold_test_system.cpp
+++ b/tests/process/support/plumfold_test_system.cpp
@@ -28,7 +28,7 @@
 
 test_system::test_system()
 {
-    // The process id makes the addresses of test runs at the same time differ.
+    // Derives the network from the process id, so that concurrent test runs use different addresses.
     auto id = static_cast<unsigned>(::getpid());
     m_network = "127." + std::to_string(1 + id / 250 % 250) + '.' + std::to_string(1 + id % 250);
     std::string folderTemplate = (std::filesystem::temp_directory_path() / "plumfold-test-XXXXXX").string();
@@ -105,7 +105,7 @@
         return code == 0 || code == 4;
     });
     if (!formed)
-        throw std::runtime_error("the control group was not formed");
+        throw std::runtime_error("the control group did not form before the timeout");
     for (const char* domain : { "east", "west" })
         configure({ "failure-domain", "put", domain });
     configure({ "model", "put", "base" });
@@ -202,7 +202,7 @@
     int code = 0;
     std::string output = plumfold(arguments, &code);
     if (code != 0)
-        throw std::runtime_error("the change was not accepted: " + output);
+        throw std::runtime_error("the configuration change failed: " + output);
 }
 
 int test_system::leader()
@@ -256,13 +256,14 @@
 void test_system::waitForTargets(int entry, std::size_t count)
 {
     if (!eventually([&] { return readiness(entry).value("targets", std::size_t(0)) == count; }))
-        throw std::runtime_error("the entry does not know its targets");
+        throw std::runtime_error(
+            "the entry did not report the expected number of targets before the timeout");
 }
 
 void test_system::waitForRevision(int entry, std::uint64_t revision)
 {
     if (!eventually([&] { return readiness(entry).value("revision", std::uint64_t(0)) >= revision; }))
-        throw std::runtime_error("the entry does not follow the configuration");
+        throw std::runtime_error("the entry did not reach the expected revision before the timeout");
 }
 
 void test_system::fault(const std::string& target, const json& faults)
--- a/tests/process/support/plumfold_test_system.hpp
+++ b/tests/process/support/plumfold_test_system.hpp
@@ -14,8 +14,8 @@
 
 namespace plumfold::tests {
 
-/// A small system of real processes on loopback. Every VM has an IP number of its own, so ports never
-/// collide. Failure domain 1 is "east", 2 is "west"; entry N and its targets live in failure domain N.
+/// A small system of real processes on loopback. Every VM has an IP address of its own, so ports never
+/// collide. Failure domain 1 is "east", 2 is "west"; entry N and its targets run in failure domain N.
 class test_system {
 public:
     test_system();
@@ -26,17 +26,26 @@
     static constexpr const char* apiKey = "espuma-key";
     static constexpr const char* otherKey = "samvinna-key";
 
-    /// Starts three control VMs, forms the group and makes the usual records.
+    /// Starts three control VMs, bootstraps the group, writes the configuration that tests share and waits
+    /// until all three are voters.
+    /// @throws std::runtime_error when the group does not form or a change fails.
     void startControl();
+    /// Starts or restarts one control VM.
+    /// @param number 1 to 3.
     void startControlVm(int number);
-    /// Settings that later started processes get, below their role.
+    /// Sets additional settings for processes of a role that start later.
+    /// @param role section of the settings, for example "entry".
+    /// @param more settings that override the defaults of the section.
     void extraSettings(const std::string& role, nlohmann::json more)
     {
         m_extraSettings[role] = std::move(more);
     }
     void startEntry(int number);
     void startStore();
+    /// Starts or restarts a fake engine. A restart keeps the address.
+    /// @param options further command-line options.
     void startEngine(const std::string& name, int domain, std::vector<std::string> options = {});
+    /// Starts or restarts a fake service. A restart keeps the address.
     void startService(const std::string& name, int domain);
 
     test_process& process(const std::string& name) { return m_processes.at(name); }
@@ -44,12 +53,14 @@
     std::string folder(const std::string& name) const { return (m_folder / name).string(); }
     void removeFolder(const std::string& name) { std::filesystem::remove_all(m_folder / name); }
 
-    /// Runs the operators' command line.
-    /// @return its output; `code` receives the exit code.
+    /// Runs the operators' command-line tool.
+    /// @param code receives the exit code, unless null.
+    /// @return its output.
     std::string plumfold(const std::vector<std::string>& arguments, int* code = nullptr);
-    /// Changes the configuration and expects success.
+    /// Runs the operators' command-line tool to change the configuration.
+    /// @throws std::runtime_error when the tool fails.
     void configure(const std::vector<std::string>& arguments);
-    /// @return the number of the control VM that leads, or 0.
+    /// @return the number of the control VM that is leader in the highest term, or 0 for none.
     int leader();
 
     std::string callerAddress(int entry) const { return address(20 + entry, 8000); }
@@ -57,17 +68,25 @@
         bool stream = true, std::map<std::string, std::string> headers = {}, const std::string& key = apiKey);
     client::call_answer order(int entry, const std::string& idempotencyKey, const std::string& body = "{}",
         std::map<std::string, std::string> headers = {});
+    /// @return the body of an entry's /readyz; an empty object when it is not JSON.
     nlohmann::json readiness(int entry);
+    /// Waits until an entry reports exactly `count` targets.
+    /// @throws std::runtime_error on a timeout.
     void waitForTargets(int entry, std::size_t count);
+    /// Waits until an entry uses at least a revision of the configuration.
+    /// @throws std::runtime_error on a timeout.
     void waitForRevision(int entry, std::uint64_t revision);
 
-    /// Switches a fake's faults.
+    /// Injects faults into a fake target. Null clears them.
     void fault(const std::string& target, const nlohmann::json& faults);
+    /// @return the JSON body of a GET request to a fake target.
     nlohmann::json askTarget(const std::string& target, const std::string& path);
-    /// @return the lines that a fake has logged.
+    /// @return the lines that a fake target has logged.
     std::vector<std::string> logOf(const std::string& target);
 
-    /// Waits until a condition holds; a generous bound, only to end a test that has failed.
+    /// Polls until a condition holds.
+    /// @param seconds timeout. Far above the expected time, so that it only ends tests that fail.
+    /// @return whether the condition held before the timeout.
     static bool eventually(const std::function<bool()>& condition, int seconds = 20);
 
 private:
@@ -83,7 +102,7 @@
     std::map<std::string, test_process> m_processes;
 };
 
-/// A system with two entries and a warm-started engine in each failure domain, ready to serve.
+/// A system with an entry and a warm engine in each of two failure domains, ready to serve.
 class two_domain_system : public test_system {
 public:
     two_domain_system();
