--- a/benchmarks/plumfold_bench_control.cpp
+++ b/benchmarks/plumfold_bench_control.cpp
@@ -1,5 +1,5 @@
-// Control: commits against plain synced writes on the same disk, restart after many changes, size of the
-// state.
+// Benchmarks the control node: commit latency against synced writes to the same disk, throughput, restart
+// time and size of the state after many changes.
 
 #include "support/plumfold_process_usage.hpp"
 
@@ -126,7 +126,7 @@
             }
             for (auto& each : pending)
                 each.get();
-            std::printf("control: changes_per_s=%.0f (512 under way)\n",
+            std::printf("control: changes_per_s=%.0f (512 in flight)\n",
                 static_cast<double>(number - before) / secondsSince(start));
         }
         auto start = clock_type::now();
--- a/benchmarks/plumfold_bench_decisions.cpp
+++ b/benchmarks/plumfold_bench_decisions.cpp
@@ -1,5 +1,5 @@
-// Cost of one routing decision and memory of the dispatcher at growing numbers of targets and known prompts,
-// and cost of the relayed load reports. Prints one line per size.
+// Benchmarks the dispatcher: CPU time per routing decision, load report and tick, and memory, for growing
+// numbers of targets and known prompts. Prints one line per size.
 
 #include "support/plumfold_process_usage.hpp"
 
--- a/benchmarks/plumfold_bench_forwarding.cpp
+++ b/benchmarks/plumfold_bench_forwarding.cpp
@@ -1,5 +1,5 @@
-// Forwarding alone: a request through an entry against the same straight on its target, in pairs; processor
-// time a request; memory. Starts its own system on loopback.
+// Benchmarks forwarding: latency that an entry adds to direct requests, measured in pairs, CPU time per
+// request and memory. Starts its own system on loopback.
 
 #include "support/plumfold_process_usage.hpp"
 
@@ -41,7 +41,8 @@
         std::printf("forwarding: a request was not served: %d\n", answer.status);
 }
 
-/// The pairs use kept connections, so that the way through the entry alone differs.
+/// Measures the latency that the entry adds. Both requests of a pair use persistent connections, so only the
+/// path through the entry differs. The order alternates to cancel its effect.
 void measureAddedTime(
     forwarding_system& system, const std::string& target, const char* name, const char* path)
 {
--- a/benchmarks/plumfold_bench_policy.cpp
+++ b/benchmarks/plumfold_bench_policy.cpp
@@ -1,6 +1,6 @@
-// Policy: the real dispatcher against two baselines on the same arrivals and the same model of targets, in
-// virtual time. Baselines: round robin, and least requests in flight with prefix affinity by hash. Seeds are
-// stated in the output.
+// Simulates the dispatcher and two baseline policies in virtual time, with the same workload and the same
+// model of targets. Baselines: round robin, and least requests in flight with prefix affinity by hash. Prints
+// the seed.
 
 #include "plumfold/core/plumfold_dispatcher.hpp"
 
@@ -25,21 +25,21 @@
 constexpr double prefillMsPerToken = 0.1;
 constexpr double tokenMs = 20;
 constexpr std::uint32_t outputTokens = 64;
-constexpr std::size_t cacheBlocks = 256; // a small part of all conversationCount
+constexpr std::size_t cacheBlocks = 256; // holds only a small part of all conversations
 constexpr int conversationCount = 400;
 constexpr double runSeconds = 120;
 constexpr double firstTokenLimitMs = 890;
 constexpr double domainOutAtSeconds = 40;
 constexpr double domainBackAtSeconds = 80;
 
-/// One arrival of the trace.
+/// Arrival of one request in the workload.
 struct arrival {
     double atMs;
     int conversation;
     std::uint32_t blocks;
 };
 
-/// A target with a batch and a cache that drops what was used longest ago.
+/// A target with a batch and a prefix cache with LRU eviction.
 class simulated_target {
 public:
     std::uint32_t cachedBlocks(const prompt_chain& chain) const
@@ -66,7 +66,7 @@
     }
 
     std::uint32_t running = 0;
-    std::deque<std::function<void()>> queue; // waits inside the target
+    std::deque<std::function<void()>> queue; // requests that wait inside the target
 
 private:
     std::list<std::uint64_t> m_recent;
@@ -87,7 +87,7 @@
 std::vector<arrival> makeTrace(double load, std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    // What a request costs a target: about the mean prefill and all its tokens.
+    // Approximate time in the batch: mean prefill and decoding of all tokens.
     double serviceMs = 300 + outputTokens * tokenMs;
     double capacityPerMs = targetCount * maxBatch / serviceMs;
     std::exponential_distribution<double> gap(capacityPerMs * load);
@@ -109,7 +109,7 @@
     return chain;
 }
 
-/// Virtual time, targets and arrivals; a policy decides where each request goes.
+/// Discrete-event simulation of targets under a workload. A derived class implements the routing policy.
 class simulation {
 public:
     simulation(const std::vector<arrival>& trace, bool moveDomain)
--- a/benchmarks/plumfold_bench_relay.cpp
+++ b/benchmarks/plumfold_bench_relay.cpp
@@ -1,5 +1,6 @@
-// Relay: a run through an entry against the same run straight on the fake engine, in pairs; tokens a second
-// and CPU; memory with open streams. Started by tools/bench.sh, which starts the system.
+// Benchmarks streamed completions through an entry: added time to first token against direct requests to the
+// fake engine, measured in pairs, tokens per second, CPU time, and memory with open streams. tools/bench.sh
+// starts the system and this program.
 
 #include "support/plumfold_process_usage.hpp"
 
@@ -118,7 +119,7 @@
 int main(int argc, char** argv)
 {
     relay_options options;
-    CLI::App app { "measures the relay" };
+    CLI::App app { "benchmarks streamed completions through an entry" };
     app.add_option("--entry", options.entry)->required();
     app.add_option("--engine", options.engine)->required();
     app.add_option("--key", options.key)->required();
--- a/benchmarks/plumfold_bench_watch.cpp
+++ b/benchmarks/plumfold_bench_watch.cpp
@@ -1,6 +1,6 @@
-// Control's cost for following entries: stand-in entry sessions that watch one control VM, at growing
-// numbers. Prints its CPU while nothing changes, the time until a change has reached all sessions, and the
-// sizes of messages.
+// Benchmarks configuration watches: simulated entry sessions watch one control VM, in growing numbers. Prints
+// the CPU usage of the control VM while nothing changes, the time until a change has reached all sessions,
+// and message sizes.
 
 #include "support/plumfold_process_usage.hpp"
 
@@ -34,7 +34,7 @@
     int controlPid = 0;
 };
 
-/// Stand-in sessions that do what an entry's control client does.
+/// Simulated entry sessions that watch the configuration in the same way as an entry's control client.
 class simulated_entry_sessions {
 public:
     simulated_entry_sessions(wire::rpc_thread& rpc, const watch_options& options, int count)
@@ -173,7 +173,7 @@
 int main(int argc, char** argv)
 {
     watch_options options;
-    CLI::App app { "measures control's cost for following entries" };
+    CLI::App app { "benchmarks configuration watches of entries" };
     app.add_option("--control", options.control)->required();
     app.add_option("--secret", options.secret)->required();
     app.add_option("--token", options.token)->required();
--- a/benchmarks/support/plumfold_process_usage.hpp
+++ b/benchmarks/support/plumfold_process_usage.hpp
@@ -2,10 +2,12 @@
 
 namespace plumfold::benchmarks {
 
-/// @return the CPU seconds that a process has used, from its accounting.
+/// @param pid process id.
+/// @return user and system CPU time of a process in seconds, from /proc.
 double cpuSeconds(int pid);
 
-/// @return the resident memory of a process in MiB.
+/// @param pid process id.
+/// @return resident memory of a process in MiB, from /proc.
 double residentMegabytes(int pid);
 
 } // namespace plumfold::benchmarks
