--- a/cmake/plumfold_package.cmake
+++ b/cmake/plumfold_package.cmake
@@ -1,4 +1,4 @@
-# Declares one package of the workspace as a static library with an exported alias plumfold::NAME.
+# Declares a package as a static library with the alias plumfold::NAME.
 # Public headers live under include/, private headers and sources under src/.
 function(plumfold_package name)
     cmake_parse_arguments(ARG "" "" "DEPENDS" ${ARGN})
--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Prints the measurements: decisions, control, relay against a direct call. docs/capacity.md says what they feed.
+# Runs all benchmarks and prints their figures. docs/capacity.md explains how they are used.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=build/release
@@ -8,7 +8,7 @@
 $bin/benchmarks/plumfold_bench_policy
 $bin/benchmarks/plumfold_bench_forwarding
 
-# The relay needs a system: one control VM, one entry, one engine that costs next to nothing.
+# The relay and watch benchmarks need a system: one control VM, one entry and one engine with negligible prefill time.
 run=$(mktemp -d)
 net=127.$((RANDOM % 200 + 20)).$((RANDOM % 250 + 1))
 pids=()
@@ -42,7 +42,7 @@
 $plumfold version put base v1 >/dev/null
 $plumfold customer put bench --key bench-key --model base --max-in-flight 400 --max-queued 400 >/dev/null
 for _ in $(seq 100); do curl -fs "http://$net.2:8000/readyz" | grep -q '"revision":4.*"targets":1' && break; sleep 0.1; done
-# Opens the engine's window.
+# Opens the slow-start window of the engine.
 $plumfold load --entry "$net.2:8000" --key bench-key --model base --requests 1500 --concurrency 64 --max-tokens 1 \
     --prompt-bytes 100 --growth-bytes 0 >/dev/null
 $bin/benchmarks/plumfold_bench_relay --entry "$net.2:8000" --engine "$net.3:9000" --key bench-key --entry-pid "$entry"
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs every test. Tests that KNOWN-RED.txt names are run apart and do not decide.
+# Runs all tests. Tests that KNOWN-RED.txt lists run separately and do not affect the exit code.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 red=$(sed -n 's/^test: //p' KNOWN-RED.txt | paste -sd'|' -)
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Starts a small system on loopback, serves real requests end to end, prints the measures and stops everything.
-# Two failure domains with an entry each, three control VMs, one store, four fake engines and two fake services.
+# Starts a small system on loopback, serves requests end to end, prints the figures and stops all processes.
+# Two failure domains with one entry each, three control VMs, one store, four fake engines and two fake services.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=build/release
@@ -17,7 +17,7 @@
 }
 trap 'stop_all; rm -rf "$run"' EXIT
 
-# address N PORT: VM number N of this demo
+# Address of VM number N of this demo: address N PORT
 address() { echo "$net.$1:$2"; }
 hash_of() { printf %s "$1" | sha256sum | cut -d' ' -f1; }
 
@@ -113,7 +113,7 @@
 ready() { curl -fs "http://$1/readyz" | grep -q '"ready":true.*"revision":6.*"targets":6'; }
 for n in 1 2; do wait_until 10 ready "$(address $((20 + n)) 8000)"; done
 
-echo "== completions of returning conversations"
+echo "== completions of multi-turn conversations"
 $plumfold load --entry "$(address 21 8000),$(address 22 8000)" --key $key --model base --requests 200 --concurrency 8 \
     --conversations 40 --record "$run/record" --retry
 $bin/tests/plumfold_fake_verify "$run/record" v1
@@ -125,7 +125,7 @@
     echo
 done
 
-echo "== failure domain west is taken out and comes back under load"
+echo "== failure domain west is taken out of service and put back under load"
 $plumfold load --entry "$(address 21 8000),$(address 22 8000)" --key $key --model base --requests 400 --concurrency 6 \
     --conversations 40 --record "$run/record" --retry >"$run/load.out" &
 load=$!
@@ -137,7 +137,7 @@
 cat "$run/load.out"
 $bin/tests/plumfold_fake_verify "$run/record" v1
 
-echo "== one request as a tree of spans"
+echo "== trace of one request as a span tree"
 $plumfold trace "$run/entry-1.trace" | tail -n 4
 echo "== usage"
 wait_until 10 bash -c "$plumfold usage | grep -q espuma"
--- a/tools/format.sh
+++ b/tools/format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formats our sources (fix), or fails when one is not formatted (check).
+# Formats all C++ sources but the generated ones (fix), or fails when one is not formatted (check, the default).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(git ls-files --cached --others --exclude-standard '*.cpp' '*.hpp' | grep -v '/generated/')
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build and the tests need. Does nothing when all of it is there.
+# Installs the packages that the build and the tests need, unless all are installed.
 set -euo pipefail
 packages=(g++ cmake ninja-build ccache clang-format clang-tidy libpoco-dev capnproto libcapnp-dev nlohmann-json3-dev
     libboost-dev libboost-log-dev libabsl-dev libxxhash-dev libssl-dev libcli11-dev catch2 librapidcheck-dev spin curl)
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over our sources, some files at a time. Give file names to check only those.
+# Runs clang-tidy in parallel on all package sources, or only on the files given as arguments.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [ $# -gt 0 ]; then files=("$@"); else
     mapfile -t files < <(git ls-files --cached --others --exclude-standard 'packages/*.cpp' | grep -v '/generated/')
 fi
-# The compiler's precompiled headers are of no use to clang. Its coroutines are complete, but this version does not
-# announce them as the standard library and Boost.Asio expect.
+# Clang cannot read GCC's precompiled headers. This version of Clang implements coroutines but does not define the
+# macros by which libstdc++ and Boost.Asio detect them.
 coroutines='-D__cpp_impl_coroutine=201902L -DBOOST_ASIO_HAS_CO_AWAIT=1 -DBOOST_ASIO_HAS_STD_COROUTINE=1'
 mkdir -p build/lint
 sed -E "s/-include [^ ]*cmake_pch\.hxx//g; s/-Winvalid-pch//g; s/-Wno-maybe-uninitialized//g; s/ -o / $coroutines -o /" \
--- a/tools/model-check.sh
+++ b/tools/model-check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks every specification under spec/. Each also has its property broken on purpose; that run must find the fault.
+# Model-checks the specifications as listed in spec/runs.txt. Each also runs with a deliberate fault, which must be found.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
--- a/tools/mutation-check.sh
+++ b/tools/mutation-check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Puts each fault of tests/mutations/mutations.txt into a copy of the tree and runs the tests that must notice it.
+# Applies each fault of tests/mutations/mutations.txt to a copy of the tree and runs the tests that must detect it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 copy=$(mktemp -d)
