--- a/tests/fakes/plumfold_announcer.hpp
+++ b/tests/fakes/plumfold_announcer.hpp
@@ -10,18 +10,22 @@
 
 namespace plumfold::fakes {
 
-/// Announces a fake target to the entries of its failure domain until it ends.
+/// Announces a fake target to its entries periodically, on a thread of its own, until destroyed.
 class announcer {
 public:
-    /// @param describe gives the present announcement without its sequence number.
-    announcer(const fake_options& options, std::function<nlohmann::json()> describe);
+    /// Starts announcing.
+    /// @param options name the entries and the interval.
+    /// @param makeAnnouncement returns the current announcement without its sequence number. Called on the
+    /// announcer's thread.
+    announcer(const fake_options& options, std::function<nlohmann::json()> makeAnnouncement);
+    /// Stops announcing and joins the thread.
     ~announcer();
 
 private:
     void run();
 
     fake_options m_options;
-    std::function<nlohmann::json()> m_describe;
+    std::function<nlohmann::json()> m_makeAnnouncement;
     std::uint64_t m_sequence = 0;
     std::atomic<bool> m_stopping { false };
     std::thread m_thread;
