--- a/packages/control/src/plumfold_control_service.cpp
+++ b/packages/control/src/plumfold_control_service.cpp
@@ -177,10 +177,10 @@
 
     static void writeTarget(wire::AnnouncedTarget::Builder out, const core::target_directory::entry& entry)
     {
-        core::target_announcement told = entry.last;
+        core::target_announcement announcement = entry.last;
         auto age = std::chrono::duration_cast<core::milliseconds>(runtime::now() - entry.lastSeenAt);
-        told.coldFor = std::max(told.coldFor - age, core::milliseconds(0));
-        wire::write(out, told);
+        announcement.coldFor = std::max(announcement.coldFor - age, core::milliseconds(0));
+        wire::write(out, announcement);
     }
 
     kj::Promise<void> respondToWatch(WatchContext call, watch_event event)
--- a/packages/core/include/plumfold/core/plumfold_admission.hpp
+++ b/packages/core/include/plumfold/core/plumfold_admission.hpp
@@ -20,7 +20,7 @@
     /// @param predictedMs predicted wait for other requests on the best target.
     /// @param priority 0 is the most urgent.
     /// @return nothing if the prompt is admitted, otherwise the time after which the caller should retry.
-    std::optional<milliseconds> refusal(const route& on, std::uint32_t priority, double predictedMs) const;
+    std::optional<milliseconds> rejection(const route& on, std::uint32_t priority, double predictedMs) const;
 
 private:
     double m_bias = 1; ///< Ratio of actual to predicted wait, EWMA.
--- a/packages/core/include/plumfold/core/plumfold_deployment.hpp
+++ b/packages/core/include/plumfold/core/plumfold_deployment.hpp
@@ -130,14 +130,14 @@
 };
 
 /// Highest urgency value of a request, which is the least urgent.
-inline constexpr std::uint32_t leastUrgent = 9;
+inline constexpr std::uint32_t lowestEffectivePriority = 9;
 
 /// Combines the priorities of customer and route into one urgency. The customer's priority decides first; the
 /// route's decides between customers of equal priority. Without the route's priority, small urgent
 /// requests would queue behind large ones when all customers have the same priority.
 /// @param customer null for public routes.
-/// @return the urgency, 0 (most urgent) to leastUrgent.
-std::uint32_t urgencyOf(const route& requestRoute, const customer_access* customer);
+/// @return the urgency, 0 (most urgent) to lowestEffectivePriority.
+std::uint32_t effectivePriorityOf(const route& requestRoute, const customer_access* customer);
 
 /// Chooses one of a route's services for a request, in proportion to their weights.
 /// @param draw a uniformly distributed number, such as a hash of the request's id.
--- a/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
@@ -62,7 +62,7 @@
     dispatch_plan plan;
 };
 /// Answer the request with an error.
-struct refuse_action {
+struct reject_action {
     request_number request;
     error_info error;
 };
@@ -89,7 +89,7 @@
     std::uint32_t crashes;
 };
 
-using dispatch_action = std::variant<start_action, refuse_action, acquire_permit_action,
+using dispatch_action = std::variant<start_action, reject_action, acquire_permit_action,
     release_permit_action, renew_permits_action, condemn_action>;
 
 /// Settings of one entry's dispatcher.
--- a/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
@@ -116,14 +116,14 @@
         pending_request& request, request_class& requestClass, instant now, actions& out, bool& anyEligible);
     void startWithPermit(pending_request& request, const permit_answer& answer, instant now, actions& out);
     void requeue(pending_request& request, instant now);
-    void refuse(request_number request, error_info error, actions& out);
+    void reject(request_number request, error_info error, actions& out);
     milliseconds expectedFirstTokenOf(const pending_request& request, const attempt_report& report) const;
     void release(const pending_request& request, const attempt_report& report, actions& out);
     void recordOutcome(
         const pending_request& request, const attempt_report& report, instant now, actions& out);
     void setRunning(pending_request& request, bool running);
     std::set<std::string> customersAtLimit() const;
-    void refuseExpired(instant now, actions& out);
+    void rejectExpired(instant now, actions& out);
     void renewPermits(instant now, actions& out);
 
     dispatch_options m_options;
--- a/packages/core/include/plumfold/core/plumfold_part_directory.hpp
+++ b/packages/core/include/plumfold/core/plumfold_part_directory.hpp
@@ -164,23 +164,23 @@
 
     /// @param cacheNamespace only parts under this namespace are fetched or saved.
     /// @param target the engine that runs the prompt.
-    /// @param readTokensPerMs prefill speed of a target in tokens per millisecond.
+    /// @param prefillTokensPerMs prefill speed of a target in tokens per millisecond.
     /// @return the plan; it may be empty. Saves that it contains count as requested.
     part_plan plan(const std::vector<prompt_part>& parts, const std::string& cacheNamespace,
         const part_source& target, const part_directory& directory, const engine_finder& engines,
-        double readTokensPerMs, instant now);
+        double prefillTokensPerMs, instant now);
 
     /// @return the failure domain of a store from which fetching the conversation's last shared part is
     /// faster than prefill, or nothing.
     std::optional<std::string> storedIn(const std::vector<prompt_part>& parts,
-        const std::string& cacheNamespace, const part_directory& directory, double readTokensPerMs,
+        const std::string& cacheNamespace, const part_directory& directory, double prefillTokensPerMs,
         instant now) const;
 
     store_delays& delays() { return m_delays; }
 
 private:
     bool isWorthFetching(
-        const std::string& source, std::uint64_t tokens, double readTokensPerMs, instant now) const;
+        const std::string& source, std::uint64_t tokens, double prefillTokensPerMs, instant now) const;
     const part_store* storeAt(const std::string& address) const;
     /// @return the store holding the part with the lowest transfer cost to a failure domain, or null.
     const part_store* storeOf(std::uint64_t part, const std::string& failureDomain,
--- a/packages/core/src/plumfold_admission.cpp
+++ b/packages/core/src/plumfold_admission.cpp
@@ -29,7 +29,7 @@
     m_bias += (ratio - m_bias) * sampleWeight;
 }
 
-std::optional<milliseconds> admission::refusal(
+std::optional<milliseconds> admission::rejection(
     const route& on, std::uint32_t priority, double predictedMs) const
 {
     double share = maxWaitShares[std::min<std::size_t>(priority, maxWaitShares.size() - 1)];
--- a/packages/core/src/plumfold_deployment.cpp
+++ b/packages/core/src/plumfold_deployment.cpp
@@ -105,10 +105,11 @@
     return found == m_servicesByName.end() ? nullptr : &m_services[found->second];
 }
 
-std::uint32_t urgencyOf(const route& requestRoute, const customer_access* customer)
+std::uint32_t effectivePriorityOf(const route& requestRoute, const customer_access* customer)
 {
     auto priority = customer ? customer->priority.value_or(requestRoute.priority) : requestRoute.priority;
-    return std::min(priority * routeRanks + std::min(requestRoute.priority, routeRanks - 1), leastUrgent);
+    return std::min(
+        priority * routeRanks + std::min(requestRoute.priority, routeRanks - 1), lowestEffectivePriority);
 }
 
 const std::string* chooseService(const route& requestRoute, std::uint64_t draw)
--- a/packages/core/src/plumfold_dispatcher.cpp
+++ b/packages/core/src/plumfold_dispatcher.cpp
@@ -103,7 +103,7 @@
 {
     actions out;
     if (auto error = admissionError(spec, now)) {
-        out.push_back(refuse_action { spec.number, *error });
+        out.push_back(reject_action { spec.number, *error });
         return out;
     }
     m_retries.onAttempt();
@@ -137,7 +137,7 @@
     return out;
 }
 
-void dispatcher::refuse(request_number request, error_info error, actions& out)
+void dispatcher::reject(request_number request, error_info error, actions& out)
 {
     auto found = m_requests.find(request);
     if (found != m_requests.end()) {
@@ -146,7 +146,7 @@
             error.ran = run_state::unknown;
         m_requests.erase(found);
     }
-    out.push_back(refuse_action { request, std::move(error) });
+    out.push_back(reject_action { request, std::move(error) });
 }
 
 // ---------------------------------------------------------------- dispatching
@@ -186,7 +186,7 @@
         bool timedOut = !anyEligible && now - requestClass.lastEligibleAt >= noTargetTimeout;
         if (timedOut) {
             requestClass.queue.remove(number);
-            refuse(number,
+            reject(number,
                 makeError(error_kind::no_target, run_state::not_run,
                     "no target that may run this request is in service: come back later", retryAfterNoTarget),
                 out);
@@ -397,19 +397,19 @@
     run_state ran = runStateAfter(report.outcome);
     bool mayRetry = pending.spec.idempotent || ran == run_state::not_run;
     if (m_suspects.suspicionOf(next.fingerprint, now) == suspicion::condemned) {
-        refuse(next.number,
+        reject(next.number,
             makeError(error_kind::crashes_targets, run_state::ran,
                 "this request has crashed the targets that ran it: change it, or ask an operator to withdraw "
                 "the verdict"),
             out);
     } else if (!mayRetry) {
-        refuse(next.number,
+        reject(next.number,
             makeError(error_kind::outcome_unknown, run_state::unknown,
                 "the target was lost while it ran the request: find out what was done before sending it "
                 "under a new key"),
             out);
     } else if (now >= next.deadline || !m_retries.tryTake()) {
-        refuse(next.number,
+        reject(next.number,
             makeError(error_kind::target_failed, ran,
                 "the target failed and no time or budget is left: come back later", retryAfterNoTarget),
             out);
--- a/packages/core/src/plumfold_dispatcher_updates.cpp
+++ b/packages/core/src/plumfold_dispatcher_updates.cpp
@@ -44,7 +44,7 @@
     m_ledger.expire(now);
     m_suspects.expire(now);
     std::erase_if(m_permitBackOffUntil, [&](const auto& each) { return each.second <= now; });
-    refuseExpired(now, out);
+    rejectExpired(now, out);
     if (now >= m_nextRenewal) {
         m_nextRenewal = now + m_options.permitLease / 4;
         renewPermits(now, out);
@@ -57,11 +57,11 @@
     return out;
 }
 
-void dispatcher::refuseExpired(instant now, actions& out)
+void dispatcher::rejectExpired(instant now, actions& out)
 {
     for (auto& [name, requestClass] : m_classes) {
         for (request_number request : requestClass.queue.expire(now)) {
-            refuse(request,
+            reject(request,
                 makeError(error_kind::deadline_unreachable, run_state::not_run,
                     "the deadline passed before a target was free: come back later or allow more time",
                     retryAfterShort),
--- a/packages/core/src/plumfold_part_directory.cpp
+++ b/packages/core/src/plumfold_part_directory.cpp
@@ -235,21 +235,21 @@
 }
 
 bool part_planner::isWorthFetching(
-    const std::string& source, std::uint64_t tokens, double readTokensPerMs, instant now) const
+    const std::string& source, std::uint64_t tokens, double prefillTokensPerMs, instant now) const
 {
-    double readMs = static_cast<double>(tokens) / readTokensPerMs;
-    return m_delays.delayMs(source, now) < readMs + acceptedDelayMs;
+    double prefillMs = static_cast<double>(tokens) / prefillTokensPerMs;
+    return m_delays.delayMs(source, now) < prefillMs + acceptedDelayMs;
 }
 
 std::optional<std::string> part_planner::storedIn(const std::vector<prompt_part>& parts,
-    const std::string& cacheNamespace, const part_directory& directory, double readTokensPerMs,
+    const std::string& cacheNamespace, const part_directory& directory, double prefillTokensPerMs,
     instant now) const
 {
     if (parts.size() < 2)
         return std::nullopt;
     const auto& shared = parts[parts.size() - 2];
     const auto* source = storeOf(hashOf({ cacheNamespace, shared.id }), {}, directory, now);
-    if (!source || !isWorthFetching(source->address, shared.tokens, readTokensPerMs, now))
+    if (!source || !isWorthFetching(source->address, shared.tokens, prefillTokensPerMs, now))
         return std::nullopt;
     return source->failureDomain;
 }
@@ -362,7 +362,7 @@
 
 part_plan part_planner::plan(const std::vector<prompt_part>& parts, const std::string& cacheNamespace,
     const part_source& target, const part_directory& directory, const engine_finder& engines,
-    double readTokensPerMs, instant now)
+    double prefillTokensPerMs, instant now)
 {
     part_plan out;
     out.fetchFrom.resize(parts.size());
@@ -371,7 +371,7 @@
     for (std::size_t index = 0; index + 1 < parts.size(); ++index) {
         auto part = hashOf({ cacheNamespace, parts[index].id });
         auto source = sourceOf(part, target, directory, engines, now);
-        if (source && isWorthFetching(source->address, parts[index].tokens, readTokensPerMs, now))
+        if (source && isWorthFetching(source->address, parts[index].tokens, prefillTokensPerMs, now))
             out.fetchFrom[index] = source->address;
         if (storeOf(part, target.failureDomain, directory, now))
             continue;
--- a/packages/entry/src/plumfold_dispatch_thread.cpp
+++ b/packages/entry/src/plumfold_dispatch_thread.cpp
@@ -256,7 +256,7 @@
     deliverResult(action.request, action.plan);
 }
 
-void dispatch_thread::perform(const core::refuse_action& action)
+void dispatch_thread::perform(const core::reject_action& action)
 {
     m_metrics.count(
         std::string("plumfold_refusals_total{kind=\"") + core::errorKindName(action.error.kind) + "\"}");
--- a/packages/entry/src/plumfold_dispatch_thread.hpp
+++ b/packages/entry/src/plumfold_dispatch_thread.hpp
@@ -162,7 +162,7 @@
 
     void perform(const core::dispatcher::actions& actions);
     void perform(const core::start_action& action);
-    void perform(const core::refuse_action& action);
+    void perform(const core::reject_action& action);
     void perform(const core::acquire_permit_action& action) { m_outputs.requestPermit(action); }
     void perform(const core::release_permit_action& action) { m_outputs.release(action); }
     void perform(const core::renew_permits_action& action) { m_outputs.renew(action); }
--- a/packages/forwarding/src/plumfold_request_attempt.cpp
+++ b/packages/forwarding/src/plumfold_request_attempt.cpp
@@ -29,10 +29,10 @@
     head.target = placement.target;
     if (m_customer)
         head.customer = m_customer->name;
-    head.effectivePriority = core::urgencyOf(*m_route, m_customer);
+    head.effectivePriority = core::effectivePriorityOf(*m_route, m_customer);
     if (!m_head.model.empty() && !placement.weights.empty()) {
         head.weights = placement.weights;
-        head.partition = partitionOf(placement.weights);
+        head.cacheNamespace = cacheNamespaceOf(placement.weights);
         planParts(placement, head);
     }
     head.lastEventId = m_events.lastId();
@@ -40,12 +40,12 @@
 }
 
 /// Keeps KV parts apart by weight version, and those of isolated customers from all other customers.
-std::string request_forwarder::partitionOf(const std::string& weights) const
+std::string request_forwarder::cacheNamespaceOf(const std::string& weights) const
 {
-    std::string partition = "w" + weights;
+    std::string cacheNamespace = "w" + weights;
     if (m_customer && m_customer->isIsolated)
-        partition += ":" + m_customer->name;
-    return partition;
+        cacheNamespace += ":" + m_customer->name;
+    return cacheNamespace;
 }
 
 /// @return whether the part directory is current. It becomes stale while no control VM responds.
@@ -62,7 +62,7 @@
     if (!arePartsCurrent())
         return;
     head.parts = m_state.partPlanner.plan(
-        m_head.parts, head.partition, { placement.address, placement.failureDomain, 0 }, m_state.parts,
+        m_head.parts, head.cacheNamespace, { placement.address, placement.failureDomain, 0 }, m_state.parts,
         [this, now](const std::string& address) { return m_state.board.findSource(address, now); },
         m_state.board.latencyModel().prefillTokensPerMs, now);
     auto named = [](const auto& addresses) {
--- a/packages/forwarding/src/plumfold_request_forwarder.cpp
+++ b/packages/forwarding/src/plumfold_request_forwarder.cpp
@@ -138,13 +138,13 @@
     out.promptTokens = m_head.promptTokens;
     out.sharedTokens = std::min(core::sharedTokensOf(m_head.parts), out.promptTokens);
     if (arePartsCurrent()) {
-        auto partition = partitionOf(m_state.board.currentWeightVersion(m_head.model));
+        auto cacheNamespace = cacheNamespaceOf(m_state.board.currentWeightVersion(m_head.model));
         auto now = runtime::now();
-        out.storedIn = m_state.partPlanner.storedIn(
-            m_head.parts, partition, m_state.parts, m_state.board.latencyModel().prefillTokensPerMs, now);
+        out.storedIn = m_state.partPlanner.storedIn(m_head.parts, cacheNamespace, m_state.parts,
+            m_state.board.latencyModel().prefillTokensPerMs, now);
         if (m_head.parts.size() > 1)
             out.holders = m_state.parts.holdersOf(
-                core::hashOf({ partition, m_head.parts[m_head.parts.size() - 2].id }), now);
+                core::hashOf({ cacheNamespace, m_head.parts[m_head.parts.size() - 2].id }), now);
     }
     out.outputTokens
         = std::min(m_head.expectedOutputTokens.value_or(m_head.maxOutputTokens), m_head.maxOutputTokens);
@@ -209,7 +209,7 @@
 
 bool request_forwarder::rejectOverload(const core::placement& placement)
 {
-    auto retryAfter = m_state.admission.refusal(*m_route, priority(), placement.waitMs);
+    auto retryAfter = m_state.admission.rejection(*m_route, priority(), placement.waitMs);
     if (!retryAfter)
         return false;
     m_waitMs = placement.waitMs;
--- a/packages/forwarding/src/plumfold_request_forwarder.hpp
+++ b/packages/forwarding/src/plumfold_request_forwarder.hpp
@@ -66,7 +66,7 @@
     platform::target_request_head makeTargetHead(const core::placement& placement);
     void planParts(const core::placement& placement, platform::target_request_head& head);
     bool arePartsCurrent() const;
-    std::string partitionOf(const std::string& weights) const;
+    std::string cacheNamespaceOf(const std::string& weights) const;
     core::milliseconds timeLeft() const;
 
     forwarding_state& m_state;
--- a/tests/core/plumfold_admission_tests.cpp
+++ b/tests/core/plumfold_admission_tests.cpp
@@ -18,7 +18,7 @@
 /// Prompts that arrive at a fixed rate at one engine, which serves them in order in a fixed time each.
 struct overload_simulation {
     int inTime = 0;
-    int refused = 0;
+    int rejected = 0;
     int urgentInTime = 0;
 
     overload_simulation(bool admits, int prompts, double serviceMs, double gapMs)
@@ -29,8 +29,8 @@
             double now = count * gapMs;
             std::uint32_t priority = count % 3;
             double waitMs = std::max(0.0, freeAt - now);
-            if (admits && gate.refusal(routeOf(800), priority, waitMs)) {
-                ++refused;
+            if (admits && gate.rejection(routeOf(800), priority, waitMs)) {
+                ++rejected;
                 continue;
             }
             gate.record(waitMs, waitMs);
@@ -48,25 +48,25 @@
 {
     admission gate;
     for (std::uint32_t priority = 0; priority < 9; ++priority)
-        CHECK_FALSE(gate.refusal(routeOf(600), priority, 20));
+        CHECK_FALSE(gate.rejection(routeOf(600), priority, 20));
 }
 
 TEST_CASE("The least urgent prompts are rejected first, with a time to retry after", "[admission]")
 {
     admission gate;
-    CHECK_FALSE(gate.refusal(routeOf(800), 0, 700));
-    auto refusal = gate.refusal(routeOf(800), 2, 700);
-    REQUIRE(refusal);
-    CHECK(*refusal >= milliseconds(1000));
+    CHECK_FALSE(gate.rejection(routeOf(800), 0, 700));
+    auto rejection = gate.rejection(routeOf(800), 2, 700);
+    REQUIRE(rejection);
+    CHECK(*rejection >= milliseconds(1000));
 }
 
 TEST_CASE("Admission corrects its predictions by the observed waits", "[admission]")
 {
     admission gate;
-    REQUIRE_FALSE(gate.refusal(routeOf(800), 1, 400));
+    REQUIRE_FALSE(gate.rejection(routeOf(800), 1, 400));
     for (int count = 0; count < 100; ++count)
         gate.record(100, 300);
-    CHECK(gate.refusal(routeOf(800), 1, 400));
+    CHECK(gate.rejection(routeOf(800), 1, 400));
 }
 
 TEST_CASE(
@@ -79,5 +79,5 @@
     CHECK(without.inTime < 200);
     CHECK(with.urgentInTime > 900);
     overload_simulation calm(true, 3000, serviceMs, serviceMs * 1.2);
-    CHECK(calm.refused == 0);
+    CHECK(calm.rejected == 0);
 }
--- a/tests/core/plumfold_deployment_tests.cpp
+++ b/tests/core/plumfold_deployment_tests.cpp
@@ -24,7 +24,7 @@
 }
 
 struct waiting_request {
-    std::uint32_t urgency = 0;
+    std::uint32_t effectivePriority = 0;
     double serviceMs = 0;
     double targetMs = 0;
 };
@@ -34,7 +34,7 @@
 int servedInTime(std::vector<waiting_request> waiting)
 {
     std::stable_sort(waiting.begin(), waiting.end(),
-        [](const auto& left, const auto& right) { return left.urgency < right.urgency; });
+        [](const auto& left, const auto& right) { return left.effectivePriority < right.effectivePriority; });
     double now = 0;
     int inTime = 0;
     for (const auto& each : waiting) {
@@ -52,16 +52,16 @@
     auto second = customerOf(1);
     for (std::uint32_t left = 0; left < 5; ++left) {
         for (std::uint32_t right = 0; right < 5; ++right)
-            CHECK(urgencyOf(routeOf(left), &first) < urgencyOf(routeOf(right), &second));
+            CHECK(effectivePriorityOf(routeOf(left), &first) < effectivePriorityOf(routeOf(right), &second));
     }
 }
 
 TEST_CASE("The route's priority decides between customers with the same priority", "[deployment]")
 {
     auto customer = customerOf(1);
-    CHECK(urgencyOf(routeOf(0), &customer) < urgencyOf(routeOf(1), &customer));
-    CHECK(urgencyOf(routeOf(1), &customer) < urgencyOf(routeOf(2), &customer));
-    CHECK(urgencyOf(routeOf(7), nullptr) == leastUrgent);
+    CHECK(effectivePriorityOf(routeOf(0), &customer) < effectivePriorityOf(routeOf(1), &customer));
+    CHECK(effectivePriorityOf(routeOf(1), &customer) < effectivePriorityOf(routeOf(2), &customer));
+    CHECK(effectivePriorityOf(routeOf(7), nullptr) == lowestEffectivePriority);
 }
 
 TEST_CASE(
@@ -74,10 +74,10 @@
     std::vector<waiting_request> unranked;
     for (int count = 0; count < 8; ++count) {
         bool isLarge = count < 4;
-        auto urgency = urgencyOf(routeOf(isLarge ? 2 : 0), &customer);
-        waiting_request one { urgency, isLarge ? 250.0 : 20.0, isLarge ? 1'200.0 : 800.0 };
+        auto effectivePriority = effectivePriorityOf(routeOf(isLarge ? 2 : 0), &customer);
+        waiting_request one { effectivePriority, isLarge ? 250.0 : 20.0, isLarge ? 1'200.0 : 800.0 };
         ranked.push_back(one);
-        one.urgency = *customer.priority;
+        one.effectivePriority = *customer.priority;
         unranked.push_back(one);
     }
     CHECK(servedInTime(ranked) == 8);
--- a/tests/core/plumfold_dispatcher_tests.cpp
+++ b/tests/core/plumfold_dispatcher_tests.cpp
@@ -94,10 +94,10 @@
 
     const dispatch_plan& planOf(request_number request) const { return m_started.at(request); }
 
-    const error_info* refusal(request_number request) const
+    const error_info* rejection(request_number request) const
     {
-        auto found = m_refused.find(request);
-        return found == m_refused.end() ? nullptr : &found->second;
+        auto found = m_rejected.find(request);
+        return found == m_rejected.end() ? nullptr : &found->second;
     }
 
     void finish(request_number request, attempt_outcome outcome = attempt_outcome::succeeded)
@@ -128,8 +128,8 @@
         for (const auto& action : actions) {
             if (const auto* start = std::get_if<start_action>(&action))
                 m_started[start->request] = start->plan;
-            if (const auto* refuse = std::get_if<refuse_action>(&action))
-                m_refused[refuse->request] = refuse->error;
+            if (const auto* reject = std::get_if<reject_action>(&action))
+                m_rejected[reject->request] = reject->error;
             if (const auto* acquire = std::get_if<acquire_permit_action>(&action))
                 permitRequests.push_back(*acquire);
             if (std::holds_alternative<release_permit_action>(action))
@@ -169,7 +169,7 @@
     std::uint64_t m_sequence = 0;
     request_number m_number = 0;
     std::map<request_number, dispatch_plan> m_started;
-    std::map<request_number, error_info> m_refused;
+    std::map<request_number, error_info> m_rejected;
 };
 
 } // namespace
@@ -212,10 +212,10 @@
     submit(second);
     CHECK(startedOn(second.number).empty());
     advance(milliseconds(600));
-    REQUIRE(refusal(second.number));
-    CHECK(refusal(second.number)->kind == error_kind::no_target);
-    CHECK(refusal(second.number)->ran == run_state::not_run);
-    CHECK(refusal(second.number)->retryAfter);
+    REQUIRE(rejection(second.number));
+    CHECK(rejection(second.number)->kind == error_kind::no_target);
+    CHECK(rejection(second.number)->ran == run_state::not_run);
+    CHECK(rejection(second.number)->retryAfter);
 }
 
 TEST_CASE_METHOD(dispatch_fixture,
@@ -290,9 +290,9 @@
         auto outcome = GENERATE(attempt_outcome::lost, attempt_outcome::crashed);
         retry(order, outcome);
         CHECK(startedOn(order.number).empty());
-        REQUIRE(refusal(order.number));
-        CHECK(refusal(order.number)->kind == error_kind::outcome_unknown);
-        CHECK(refusal(order.number)->ran == run_state::unknown);
+        REQUIRE(rejection(order.number));
+        CHECK(rejection(order.number)->kind == error_kind::outcome_unknown);
+        CHECK(rejection(order.number)->ran == run_state::unknown);
     }
     SECTION("no byte reached the target or it refused the request: another target is tried")
     {
@@ -312,8 +312,8 @@
     submit(request);
     retry(request, attempt_outcome::lost);
     advance(milliseconds(700));
-    REQUIRE(refusal(request.number));
-    CHECK(refusal(request.number)->ran == run_state::unknown);
+    REQUIRE(rejection(request.number));
+    CHECK(rejection(request.number)->ran == run_state::unknown);
 }
 
 TEST_CASE_METHOD(
@@ -363,21 +363,21 @@
     CHECK(startedOn(bad.number) != startedOn(innocent.number));
     finish(innocent.number);
     retry(bad, attempt_outcome::crashed);
-    REQUIRE(refusal(bad.number));
-    CHECK(refusal(bad.number)->kind == error_kind::crashes_targets);
+    REQUIRE(rejection(bad.number));
+    CHECK(rejection(bad.number)->kind == error_kind::crashes_targets);
     CHECK(condemned == 1);
     auto duplicate = spec();
     duplicate.fingerprint = bad.fingerprint;
     submit(duplicate);
-    REQUIRE(refusal(duplicate.number));
-    CHECK(refusal(duplicate.number)->ran == run_state::not_run);
+    REQUIRE(rejection(duplicate.number));
+    CHECK(rejection(duplicate.number)->ran == run_state::not_run);
     SECTION("an operator withdraws the verdict")
     {
         subject().onVerdictWithdrawn(bad.fingerprint);
         auto retried = spec();
         retried.fingerprint = bad.fingerprint;
         submit(retried);
-        CHECK_FALSE(refusal(retried.number));
+        CHECK_FALSE(rejection(retried.number));
     }
 }
 
@@ -393,9 +393,10 @@
     }
     auto running = std::count_if(
         many.begin(), many.end(), [&](const auto& s) { return !startedOn(s.number).empty(); });
-    auto refused = std::count_if(many.begin(), many.end(), [&](const auto& s) { return refusal(s.number); });
+    auto rejected
+        = std::count_if(many.begin(), many.end(), [&](const auto& s) { return rejection(s.number); });
     CHECK(running == 8);
-    CHECK(refused == 4); // 8 run, 8 wait
+    CHECK(rejected == 4); // 8 run, 8 wait
     auto other = spec("samvinna");
     submit(other);
     CHECK_FALSE(startedOn(other.number).empty());
@@ -408,9 +409,9 @@
     auto late = spec();
     late.deadline = now + milliseconds(1);
     submit(late);
-    REQUIRE(refusal(late.number));
-    CHECK(refusal(late.number)->kind == error_kind::deadline_unreachable);
-    CHECK(refusal(late.number)->retryAfter);
+    REQUIRE(rejection(late.number));
+    CHECK(rejection(late.number)->kind == error_kind::deadline_unreachable);
+    CHECK(rejection(late.number)->retryAfter);
     SECTION("a waiting request is refused when its deadline passes")
     {
         for (int index = 0; index < 4; ++index)
@@ -418,10 +419,10 @@
         auto waiting = spec();
         waiting.deadline = now + milliseconds(200);
         submit(waiting);
-        CHECK_FALSE(refusal(waiting.number));
+        CHECK_FALSE(rejection(waiting.number));
         advance(milliseconds(200));
-        REQUIRE(refusal(waiting.number));
-        CHECK(refusal(waiting.number)->ran == run_state::not_run);
+        REQUIRE(rejection(waiting.number));
+        CHECK(rejection(waiting.number)->ran == run_state::not_run);
     }
 }
 
