--- a/packages/control/src/plumfold_control_service.cpp
+++ b/packages/control/src/plumfold_control_service.cpp
@@ -120,7 +120,7 @@
             ready = m_context.leader.confirm(confirmTimeout);
         return ready.then([this, call]() mutable {
             auto params = call.getParams();
-            // Each incarnation of a feed numbers its changes anew, so an unknown one gets a snapshot.
+            // Change numbers restart with each incarnation of a feed, so an unknown one gets a snapshot.
             std::uint64_t change = params.getFeed() == m_context.feed.id() ? params.getKnownChange() : 0;
             auto wait = std::min(params.getWaitMs(), maxWatchMs) * kj::MILLISECONDS;
             return m_context.feed.waitForUpdate(params.getKnownDeployment(), change, wait)
--- a/packages/core/include/plumfold/core/plumfold_deployment.hpp
+++ b/packages/core/include/plumfold/core/plumfold_deployment.hpp
@@ -129,14 +129,14 @@
     std::map<std::string, std::size_t, std::less<>> m_servicesByName;
 };
 
-/// Highest urgency value of a request, which is the least urgent.
+/// Highest value of a request's effective priority, which is served last.
 inline constexpr std::uint32_t lowestEffectivePriority = 9;
 
-/// Combines the priorities of customer and route into one urgency. The customer's priority decides first; the
-/// route's decides between customers of equal priority. Without the route's priority, small urgent
-/// requests would queue behind large ones when all customers have the same priority.
+/// Combines the priorities of customer and route. The customer's priority decides first; the route's decides
+/// between customers of equal priority. Without the route's priority, small urgent requests would queue
+/// behind large ones when all customers have the same priority.
 /// @param customer null for public routes.
-/// @return the urgency, 0 (most urgent) to lowestEffectivePriority.
+/// @return the effective priority, 0 (highest) to lowestEffectivePriority.
 std::uint32_t effectivePriorityOf(const route& requestRoute, const customer_access* customer);
 
 /// Chooses one of a route's services for a request, in proportion to their weights.
--- a/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatch_types.hpp
@@ -101,8 +101,8 @@
     milliseconds targetExpiry { 3000 }; ///< Silence after which a target is removed.
     milliseconds entryExpiry { 1500 }; ///< Silence after which another entry counts as dead.
     milliseconds permitLease { 2000 }; ///< Lifetime of a permit without renewal.
-    milliseconds maxQueueWait { 2000 }; ///< Requests predicted to wait longer are refused on arrival.
-    /// Model requests that have to wait and are predicted to exceed this are refused on arrival.
+    milliseconds maxQueueWait { 2000 }; ///< Requests predicted to wait longer are rejected on arrival.
+    /// Model requests that have to wait and are predicted to exceed this are rejected on arrival.
     milliseconds maxTimeToFirstToken { 890 };
     std::size_t maxWaiting = 512; ///< Waiting requests of all customers.
     std::size_t maxKnownBlocks = 1'000'000; ///< Size limit of the prefix index.
--- a/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
+++ b/packages/core/include/plumfold/core/plumfold_dispatcher.hpp
@@ -24,13 +24,13 @@
 
     using actions = std::vector<dispatch_action>;
 
-    /// Admits or refuses a new request. An admitted request stays known until it is refused, cancelled or
+    /// Admits or rejects a new request. An admitted request stays known until it is rejected, cancelled or
     /// finished.
-    /// @return start, refuse and permit actions, also of other requests that can be dispatched now.
+    /// @return start, reject and permit actions, also of other requests that can be dispatched now.
     actions submit(const request_spec& spec, instant now);
 
     /// Applies the answer of a target's permit owner to an acquire_permit_action. A permit granted after the
-    /// request was cancelled is released again.
+    /// request was cancelled is released.
     actions onPermitAnswer(
         request_number request, const std::string& owner, const permit_answer& answer, instant now);
 
@@ -40,7 +40,7 @@
     /// Ends a running request: releases its permit and records the outcome.
     actions onFinished(request_number request, const attempt_report& report, instant now);
 
-    /// Ends a failed attempt of a running request, then queues the request for another attempt or refuses it.
+    /// Ends a failed attempt of a running request, then queues the request for another attempt or rejects it.
     /// @param next the remaining request, with the same number; its weight version is pinned once tokens were
     /// delivered.
     actions retry(const request_spec& next, const attempt_report& report, instant now);
--- a/packages/core/include/plumfold/core/plumfold_fair_queue.hpp
+++ b/packages/core/include/plumfold/core/plumfold_fair_queue.hpp
@@ -37,7 +37,7 @@
     /// Removes a request that starts and charges its cost to its customer.
     void start(request_number request);
 
-    /// Queues a started request again, for instance after its permit was denied, and undoes its charge.
+    /// Requeues a started request, for instance after its permit was denied, and undoes its charge.
     void requeue(const waiting_request& request);
 
     /// Removes a request without a charge.
--- a/packages/core/include/plumfold/core/plumfold_raft_types.hpp
+++ b/packages/core/include/plumfold/core/plumfold_raft_types.hpp
@@ -12,7 +12,7 @@
 /// One member of the Raft group.
 struct raft_member {
     node_name node;
-    /// Identity of the member's data folder. A node that lost its disk comes back under another one.
+    /// Identity of the member's data folder. A node that lost its disk rejoins with a different one.
     std::uint64_t incarnation = 0;
     bool voter = false; ///< Learners receive the log but do not count towards the quorum.
     std::string address;
--- a/packages/core/include/plumfold/core/plumfold_suspect_registry.hpp
+++ b/packages/core/include/plumfold/core/plumfold_suspect_registry.hpp
@@ -15,7 +15,7 @@
 enum class suspicion {
     none,
     suspect, ///< Was running when a target crashed; now runs alone.
-    condemned, ///< Crashed a target while running alone; now refused.
+    condemned, ///< Crashed a target while running alone; now rejected.
 };
 
 /// A suspect as exchanged between entries.
--- a/packages/core/src/plumfold_deployment.cpp
+++ b/packages/core/src/plumfold_deployment.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Urgency values per customer priority, distinguished by the priority of the route.
+/// Effective priorities per customer priority, distinguished by the priority of the route.
 constexpr std::uint32_t routeRanks = 3;
 
 absl::Status checkRoute(const route& checked, const deployment& whole)
--- a/packages/core/src/plumfold_dispatcher.cpp
+++ b/packages/core/src/plumfold_dispatcher.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// How long a request waits while no target may run it, before it is refused.
+// How long a request waits while no target may run it, before it is rejected.
 constexpr milliseconds noTargetTimeout { 500 };
 // How long a target is avoided after a failed attempt, or after it refused a request.
 constexpr milliseconds backOffAfterFailure { 1000 };
--- a/packages/core/src/plumfold_part_directory.cpp
+++ b/packages/core/src/plumfold_part_directory.cpp
@@ -21,7 +21,7 @@
 /// Weight in rendezvous hashing of a store in the target's failure domain, where a transfer takes half the
 /// time.
 constexpr double localDomainWeight = 4;
-/// Half-life of a store's delay estimate. The decay lets a slow store be tried again.
+/// Half-life of a store's delay estimate. The decay lets a slow store be retried.
 constexpr double delayHalfLifeMs = 1'500;
 constexpr double slowSampleWeight = 0.2;
 constexpr double quickSampleWeight = 0.5;
--- a/packages/entry/src/plumfold_request_flow.hpp
+++ b/packages/entry/src/plumfold_request_flow.hpp
@@ -30,7 +30,7 @@
     /// shutdown expired; cancelled if the caller disconnected.
     absl::StatusOr<core::dispatch_plan> dispatch(const core::request_spec& spec);
 
-    /// Reports a failed attempt and waits until the request is dispatched again or rejected.
+    /// Reports a failed attempt and waits until the request is dispatched for a retry or rejected.
     /// @param next the remaining request, with the same number.
     /// @return as dispatch().
     absl::StatusOr<core::dispatch_plan> dispatchRetry(
--- a/packages/forwarding/src/plumfold_deployment_follower.cpp
+++ b/packages/forwarding/src/plumfold_deployment_follower.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::chrono::milliseconds connectTimeout { 250 };
 constexpr std::uint32_t longPollWaitMs = 150;
-/// A control VM that does not respond in time is replaced by the next one. Changes must be in force within
+/// A control VM that does not respond in time is replaced by the next one. Changes must take effect within
 /// two seconds, even when two control VMs have just become unresponsive.
 constexpr std::chrono::milliseconds pollTimeout { 900 };
 constexpr std::chrono::milliseconds firstPollTimeout { 400 }; // for the first poll of a connection
@@ -144,7 +144,7 @@
         if (received.generation == 0)
             m_parts.erase(received.holder);
     }
-    // A lagging control VM sends an older revision; the revision in force never decreases.
+    // A lagging control VM sends an older revision; the current revision never decreases.
     if (response.hasDeployment() && response.getDeployment().getRevision() > m_knownDeployment) {
         update.deployment = wire::read(response.getDeployment());
         m_knownDeployment = update.deployment->revision;
--- a/packages/wire/schema/plumfold.capnp
+++ b/packages/wire/schema/plumfold.capnp
@@ -186,7 +186,7 @@
 }
 interface ControlPeer {
   deliver @0 (message :RaftMessage) -> ();
-  # What this control VM heard from targets itself, how many entries follow it, and the entries' suspects.
+  # What targets announced to this control VM itself, how many entries follow it, and the entries' suspects.
   share @1 (address :Text, failureDomain :Text, entries :UInt32, targets :List(AnnouncedTarget),
       parts :List(PartNews), clock :UInt64, loads :List(TargetLoad)) -> ();
 }
@@ -205,7 +205,7 @@
       -> (update :ConfigurationUpdate, fresh :Bool, verdicts :List(Verdict));
   submit @1 (command :Command) -> (reply :Reply, result :CommandResult);
   # Answers as soon as the deployment or a target differs from what is known, or after waitMs. With confirmed,
-  # a quorum has shown first that nothing newer is in force.
+  # a quorum has first confirmed that no newer revision is deployed.
   follow @2 (knownDeployment :UInt64, feed :UInt64, knownChange :UInt64, waitMs :UInt32, confirmed :Bool,
       parts :List(PartCursor))
       -> (fresh :Bool, deployment :DeploymentState, feed :UInt64, change :UInt64, everything :Bool,
@@ -226,7 +226,7 @@
   sequence @8 :UInt64;
   models @9 :List(LoadedModel);
 }
-# KV parts that a store or an engine holds whole, see core::part_news.
+# KV parts that a store or an engine holds whole, see core::part_update.
 struct PartChange { part @0 :UInt64; tokens @1 :UInt32; }
 struct PartNews { holder @0 :Text; generation @1 :UInt64; first @2 :UInt32; count @3 :UInt32; changes @4 :List(PartChange); confirmed @5 :Bool; }
 struct PartCursor { holder @0 :Text; generation @1 :UInt64; count @2 :UInt32; }
--- a/tests/core/plumfold_deployment_tests.cpp
+++ b/tests/core/plumfold_deployment_tests.cpp
@@ -29,7 +29,7 @@
     double targetMs = 0;
 };
 
-/// Runs the requests waiting for one target one after another, the most urgent first.
+/// Runs the requests waiting for one target one after another, the highest priority first.
 /// @return the number of requests completed within their latency target.
 int servedInTime(std::vector<waiting_request> waiting)
 {
--- a/tests/core/plumfold_dispatcher_tests.cpp
+++ b/tests/core/plumfold_dispatcher_tests.cpp
@@ -146,7 +146,7 @@
     dispatcher& subject() { return m_dispatcher; }
 
 private:
-    // The load of the first report sets the target's concurrency limit; the second report frees it again.
+    // The load of the first report sets the target's concurrency limit; the second report frees it.
     void reportWarm(target_report report)
     {
         for (std::uint32_t running : { report.running, 0u }) {
@@ -403,7 +403,7 @@
 }
 
 TEST_CASE_METHOD(
-    dispatch_fixture, "A request that cannot meet its deadline is refused at once", "[dispatch][deadline]")
+    dispatch_fixture, "A request that cannot meet its deadline is rejected at once", "[dispatch][deadline]")
 {
     announce("t1");
     auto late = spec();
@@ -412,7 +412,7 @@
     REQUIRE(rejection(late.number));
     CHECK(rejection(late.number)->kind == error_kind::deadline_unreachable);
     CHECK(rejection(late.number)->retryAfter);
-    SECTION("a waiting request is refused when its deadline passes")
+    SECTION("a waiting request is rejected when its deadline passes")
     {
         for (int index = 0; index < 4; ++index)
             submit(spec());
