--- a/packages/control/src/plumfold_control_node.cpp
+++ b/packages/control/src/plumfold_control_node.cpp
@@ -110,9 +110,9 @@
 {
     core::command_result result;
     if (entry.kind == core::entry_kind::command) {
-        auto next = wire::decode<wire::Command>(entry.payload);
-        m_lastCommandTime = std::max(m_lastCommandTime, next.at);
-        result = m_state.apply(next);
+        auto command = wire::decode<wire::Command>(entry.payload);
+        m_lastCommandTime = std::max(m_lastCommandTime, command.at);
+        result = m_state.apply(command);
     }
     if (entry.kind == core::entry_kind::membership)
         m_appliedMembers = entry.members;
--- a/packages/control/src/plumfold_control_role.cpp
+++ b/packages/control/src/plumfold_control_role.cpp
@@ -64,7 +64,7 @@
         });
         if (m_settings.control->platformAddress.empty())
             return;
-        m_front = std::make_unique<platform_api_server>(
+        m_apiServer = std::make_unique<platform_api_server>(
             platform_api_context { m_rpc, m_settings, *m_feed, *m_leader });
         m_weights = std::make_unique<weight_rollout_thread>(m_rpc, m_settings, *m_feed, *m_leader);
         m_parts = std::make_unique<part_pollers>(m_rpc, *m_feed);
@@ -74,7 +74,7 @@
     ~impl()
     {
         // Stop accepting calls first, then the control thread, then close the connections it sends through.
-        m_front.reset();
+        m_apiServer.reset();
         m_weights.reset();
         m_parts.reset();
         m_loads.reset();
@@ -108,7 +108,7 @@
     std::unique_ptr<wire::task_group> m_tasks;
     std::unique_ptr<service_context> m_context;
     std::unique_ptr<wire::rpc_listener> m_listener;
-    std::unique_ptr<platform_api_server> m_front;
+    std::unique_ptr<platform_api_server> m_apiServer;
     std::unique_ptr<weight_rollout_thread> m_weights;
     std::unique_ptr<part_pollers> m_parts;
     std::unique_ptr<load_poller> m_loads;
--- a/packages/control/src/plumfold_durable_log.cpp
+++ b/packages/control/src/plumfold_durable_log.cpp
@@ -102,17 +102,17 @@
     loaded_log result;
     std::string bytes = readFile(path);
     while (true) {
-        frame_result next = readFrame(bytes, result.validBytes);
-        if (next.state == frame_state::end || next.state == frame_state::torn)
+        frame_result record = readFrame(bytes, result.validBytes);
+        if (record.state == frame_state::end || record.state == frame_state::torn)
             return result;
-        if (next.state == frame_state::corrupt) {
+        if (record.state == frame_state::corrupt) {
             result.status = absl::DataLossError(absl::StrCat(path, ": the record at byte ", result.validBytes,
                 " is damaged: move the data folder away and start with an empty one; the other control VMs "
                 "will fill it"));
             return result;
         }
-        applyRecord(state, wire::decode<wire::WalRecord>(next.payload));
-        result.validBytes += headerBytes + next.payload.size();
+        applyRecord(state, wire::decode<wire::WalRecord>(record.payload));
+        result.validBytes += headerBytes + record.payload.size();
     }
 }
 
@@ -121,13 +121,13 @@
     if (!std::filesystem::exists(path))
         return absl::OkStatus();
     std::string bytes = readFile(path);
-    frame_result next = readFrame(bytes, 0);
-    if (next.state != frame_state::valid)
+    frame_result record = readFrame(bytes, 0);
+    if (record.state != frame_state::valid)
         return absl::DataLossError(absl::StrCat(path,
             ": the snapshot is damaged: move the data folder away and start with an empty one; the other "
             "control VMs will "
             "fill it"));
-    state.snapshot = wire::decode<wire::RaftSnapshot>(next.payload);
+    state.snapshot = wire::decode<wire::RaftSnapshot>(record.payload);
     return absl::OkStatus();
 }
 
--- a/packages/control/src/plumfold_load_poller.cpp
+++ b/packages/control/src/plumfold_load_poller.cpp
@@ -37,7 +37,7 @@
 void load_poller::pollEngines()
 {
     auto engines = m_rpc.run([this] { return m_feed.assignedEngines(); });
-    std::map<std::string, polled_target> next;
+    std::map<std::string, polled_target> polledTargets;
     std::vector<core::target_load> loads;
     for (const auto& engine : engines) {
         polled_target target;
@@ -57,9 +57,9 @@
         } else if (++target.failures >= failuresUntilSilent) {
             m_rpc.run([&] { m_feed.onTargetUnresponsive(engine.name); });
         }
-        next.emplace(engine.name, std::move(target));
+        polledTargets.emplace(engine.name, std::move(target));
     }
-    m_targets = std::move(next);
+    m_targets = std::move(polledTargets);
     if (!loads.empty())
         m_rpc.run([&] { m_feed.updateLoads(loads, true); });
 }
--- a/packages/control/src/plumfold_part_pollers.cpp
+++ b/packages/control/src/plumfold_part_pollers.cpp
@@ -15,7 +15,7 @@
 /// so this also limits the age of the last confirmation.
 constexpr core::milliseconds longPollWait { 500 };
 constexpr core::milliseconds batchDelay { 100 }; // lets events accumulate, to read them in one call
-constexpr core::milliseconds retryPause { 200 };
+constexpr core::milliseconds retryDelay { 200 };
 
 } // namespace
 
@@ -117,7 +117,7 @@
         }
         m_generation = 0;
         m_next = 0;
-        std::this_thread::sleep_for(retryPause);
+        std::this_thread::sleep_for(retryDelay);
     }
 
     wire::rpc_thread& m_rpc;
@@ -147,10 +147,11 @@
 void part_pollers::run()
 {
     while (!m_stopping) {
-        auto own = m_rpc.run([this] { return m_feed.assignedHolders(); });
-        std::erase_if(m_pollers,
-            [&](const auto& each) { return std::find(own.begin(), own.end(), each.first) == own.end(); });
-        for (const auto& holder : own) {
+        auto assigned = m_rpc.run([this] { return m_feed.assignedHolders(); });
+        std::erase_if(m_pollers, [&](const auto& each) {
+            return std::find(assigned.begin(), assigned.end(), each.first) == assigned.end();
+        });
+        for (const auto& holder : assigned) {
             if (!m_pollers.contains(holder))
                 m_pollers.emplace(holder, std::make_unique<poller>(m_rpc, m_feed, holder));
         }
--- a/packages/control/src/plumfold_platform_api_server.cpp
+++ b/packages/control/src/plumfold_platform_api_server.cpp
@@ -46,11 +46,11 @@
 
     api_response operator()(const platform::announce_call& call)
     {
-        auto next = m_context.rpc.run([&] {
+        auto nextAddress = m_context.rpc.run([&] {
             m_context.feed.onAnnouncement(call.target);
             return m_context.feed.announceAddressIn(call.target.failureDomain);
         });
-        return { HTTPResponse::HTTP_OK, platform::encodeAnnounceResponse(next) };
+        return { HTTPResponse::HTTP_OK, platform::encodeAnnounceResponse(nextAddress) };
     }
 
     api_response operator()(const platform::leave_call& call)
@@ -109,12 +109,13 @@
     }
 
 private:
-    template <class Command> api_response submit(Command what)
+    template <class Command> api_response submit(Command command)
     {
         try {
             auto timeout = m_body.size() > largeBodyBytes ? largeResponseTimeout : responseTimeout;
             m_context.rpc.run([&] {
-                return m_context.leader.submit(core::command { 0, std::move(what) }, timeout).ignoreResult();
+                return m_context.leader.submit(core::command { 0, std::move(command) }, timeout)
+                    .ignoreResult();
             });
             return {};
         } catch (const kj::Exception& exception) {
@@ -146,13 +147,13 @@
     {
         auto receivedAt = runtime::now();
         auto body = runtime::readBody(request.stream(), maxCallBytes);
-        api_response answer
+        api_response apiResponse
             = errorResponse(HTTPResponse::HTTP_REQUEST_ENTITY_TOO_LARGE, "the body is too large");
         bool isAnnouncement = false;
         if (body) {
             auto call = platform::decodeControlCall(request.getMethod(), request.getURI(), *body);
             isAnnouncement = std::holds_alternative<platform::announce_call>(call);
-            answer = std::visit(call_visitor(m_context, std::move(*body)), call);
+            apiResponse = std::visit(call_visitor(m_context, std::move(*body)), call);
         }
         // Each target announces itself every second; the feed logs changes.
         if (!isAnnouncement) {
@@ -160,12 +161,12 @@
             runtime::log_event("call_answered")
                 .with("method", request.getMethod())
                 .with("path", request.getURI())
-                .with("status", static_cast<int>(answer.status))
+                .with("status", static_cast<int>(apiResponse.status))
                 .with("took_ms", duration.count());
         }
-        response.setStatus(answer.status);
+        response.setStatus(apiResponse.status);
         response.setContentType("application/json");
-        response.sendBuffer(answer.body.data(), answer.body.size());
+        response.sendBuffer(apiResponse.body.data(), apiResponse.body.size());
     }
 
 private:
--- a/packages/control/src/plumfold_weight_rollout_thread.cpp
+++ b/packages/control/src/plumfold_weight_rollout_thread.cpp
@@ -16,7 +16,7 @@
 /// After this time an order counts as lost if the target sends no reports; an order without a response may
 /// still be executed some seconds later.
 constexpr core::milliseconds orderOutcomeTimeout { 6'000 };
-constexpr core::milliseconds retryPause { 500 };
+constexpr core::milliseconds retryDelay { 500 };
 constexpr auto leaseCallTimeout = 1000 * kj::MILLISECONDS;
 /// The replicated lease lasts twice as long as its holder uses it, so that orders of two holders are at least
 /// one lease time apart.
@@ -105,14 +105,14 @@
     bool renewed = m_hasLease && runtime::now() - m_leaseRequestedAt < leaseTime / 3;
     if (renewed)
         return true;
-    core::lease_command wanted { leaseName, m_settings.control->address,
+    core::lease_command leaseCommand { leaseName, m_settings.control->address,
         static_cast<std::uint32_t>(leaseTime.count() * leaseTimeFactor) };
     auto requestedAt = runtime::now();
     try {
-        auto answer = m_rpc.run([&] {
-            return m_leader.submit(core::command { 0, wanted }, leaseCallTimeout);
+        auto response = m_rpc.run([&] {
+            return m_leader.submit(core::command { 0, leaseCommand }, leaseCallTimeout);
         });
-        const auto* lease = std::get_if<core::lease_result>(&answer.result);
+        const auto* lease = std::get_if<core::lease_result>(&response.result);
         bool granted = lease && lease->granted;
         if (granted && !m_hasLease)
             runtime::log_event("order_lease_taken").with("fence", lease->fence);
@@ -156,7 +156,7 @@
 void weight_rollout_thread::sendOrder(const stale_target& target)
 {
     auto now = runtime::now();
-    m_nextAttemptAt[target.name] = now + retryPause;
+    m_nextAttemptAt[target.name] = now + retryDelay;
     auto report = m_client.readReport(target.address, target.name);
     if (!report.ok())
         return;
@@ -165,20 +165,20 @@
         m_loads[target.name] = load;
         return;
     }
-    platform::load_order what { target.model, target.currentVersion, platform::weight_swap_mode::drain,
+    platform::load_order order { target.model, target.currentVersion, platform::weight_swap_mode::drain,
         m_settings.control->address, m_fencingToken, report->acceptedOrders };
-    auto answer = m_client.order(target.address, target.name, what);
+    auto result = m_client.order(target.address, target.name, order);
     runtime::log_event("order_given")
         .with("target", target.name)
         .with("model", target.model)
         .with("version", target.currentVersion)
         .with("fence", m_fencingToken)
         .with("accepted_orders", report->acceptedOrders)
-        .with("answer", answer.ok() ? static_cast<int>(*answer) : -1);
-    if (answer.ok() && *answer == platform::order_result::fenced)
+        .with("answer", result.ok() ? static_cast<int>(*result) : -1);
+    if (result.ok() && *result == platform::order_result::fenced)
         m_hasLease = false;
-    bool mayBeAccepted = !answer.ok() || *answer == platform::order_result::accepted
-        || *answer == platform::order_result::already_loaded;
+    bool mayBeAccepted = !result.ok() || *result == platform::order_result::accepted
+        || *result == platform::order_result::already_loaded;
     if (mayBeAccepted)
         m_loads[target.name] = load;
 }
--- a/packages/entry/src/plumfold_control_client.cpp
+++ b/packages/entry/src/plumfold_control_client.cpp
@@ -13,8 +13,8 @@
 constexpr std::uint32_t watchMs = 1000;
 constexpr std::chrono::milliseconds watchTimeout { 2000 };
 constexpr std::chrono::milliseconds attemptTimeout { 1000 };
-constexpr auto retryPause = 50 * kj::MILLISECONDS;
-constexpr auto watchPause = 150 * kj::MILLISECONDS;
+constexpr auto retryDelay = 50 * kj::MILLISECONDS;
+constexpr auto watchRetryDelay = 150 * kj::MILLISECONDS;
 // An entry without a confirmed configuration requests linearizable reads until this many watch requests have
 // failed. After that, it accepts the configuration of a control VM without a quorum.
 constexpr unsigned linearizableWatchAttempts = 6;
@@ -92,7 +92,7 @@
             drop(m_options.addresses[m_watchIndex]);
             m_watchIndex = (m_watchIndex + 1) % m_options.addresses.size();
             ++m_watchFailures;
-            return m_rpc.timer().afterDelay(watchPause);
+            return m_rpc.timer().afterDelay(watchRetryDelay);
         })
         .then([this] { return watchLoop(); });
 }
@@ -105,17 +105,17 @@
         request.setKnownRevision(m_refetch ? UINT64_MAX : m_knownRevision);
         request.setKnownDigest(m_knownDigest);
         request.setWaitMs(watchMs);
-        request.setLinearizable(!m_everFresh && m_watchFailures < linearizableWatchAttempts);
+        request.setLinearizable(!m_wasConfirmed && m_watchFailures < linearizableWatchAttempts);
         auto pending = wire::withTimeout(m_rpc, request.send().dropPipeline(), watchTimeout);
         return pending.then([this](capnp::Response<wire::EntrySession::WatchResults> response) {
             watch_update received;
             received.update = wire::read(response.getUpdate());
-            received.fresh = response.getFresh();
+            received.isCaughtUp = response.getFresh();
             for (auto verdict : response.getVerdicts())
                 received.verdicts.push_back(wire::read(verdict));
             m_refetch = false;
-            m_everFresh = m_everFresh || received.fresh;
-            bool stale = !received.fresh;
+            m_wasConfirmed = m_wasConfirmed || received.isCaughtUp;
+            bool stale = !received.isCaughtUp;
             if (received.update.revision >= m_knownRevision) {
                 m_knownRevision = received.update.revision;
                 m_knownDigest = received.update.digest;
@@ -186,11 +186,11 @@
     return submitOnce(command, address)
         .catch_([this, command, address, deadline](
                     kj::Exception&& exception) -> kj::Promise<core::command_result> {
-            if (m_rpc.timer().now() + retryPause >= deadline)
+            if (m_rpc.timer().now() + retryDelay >= deadline)
                 return kj::mv(exception);
             if (m_leader == address)
                 advanceLeaderCandidate();
-            return m_rpc.timer().afterDelay(retryPause).then([this, command, deadline] {
+            return m_rpc.timer().afterDelay(retryDelay).then([this, command, deadline] {
                 return submitUntil(command, deadline);
             });
         });
--- a/packages/entry/src/plumfold_control_client.hpp
+++ b/packages/entry/src/plumfold_control_client.hpp
@@ -26,7 +26,7 @@
 /// The response of a control VM to a watch request.
 struct watch_update {
     core::configuration_update update;
-    bool fresh = false; ///< Whether the control VM was connected to a quorum.
+    bool isCaughtUp = false; ///< Whether the control VM was connected to a quorum.
     std::vector<core::verdict> verdicts;
 };
 
@@ -77,7 +77,7 @@
     std::size_t m_watchIndex = 0;
     std::string m_leader;
     std::size_t m_leaderIndex = 0;
-    bool m_everFresh = false;
+    bool m_wasConfirmed = false;
     unsigned m_watchFailures = 0;
     std::uint64_t m_knownRevision = 0;
     std::uint64_t m_knownDigest = 0;
--- a/packages/entry/src/plumfold_dispatch_thread.cpp
+++ b/packages/entry/src/plumfold_dispatch_thread.cpp
@@ -137,8 +137,8 @@
 core::dispatcher::actions dispatch_thread::handle(retry_event& event)
 {
     m_metrics.count("plumfold_retries_total");
-    m_tickets[event.next.number] = std::move(event.ticket);
-    return m_dispatcher.retry(event.next, event.report, runtime::now());
+    m_tickets[event.spec.number] = std::move(event.ticket);
+    return m_dispatcher.retry(event.spec, event.report, runtime::now());
 }
 
 core::dispatcher::actions dispatch_thread::handle(cancel_event& event)
--- a/packages/entry/src/plumfold_dispatch_thread.hpp
+++ b/packages/entry/src/plumfold_dispatch_thread.hpp
@@ -41,7 +41,7 @@
     core::attempt_report report;
 };
 struct retry_event {
-    core::request_spec next;
+    core::request_spec spec;
     core::attempt_report report;
     std::shared_ptr<dispatch_ticket> ticket;
 };
--- a/packages/entry/src/plumfold_entry_role.cpp
+++ b/packages/entry/src/plumfold_entry_role.cpp
@@ -109,7 +109,7 @@
 
     void onWatchUpdate(watch_update received)
     {
-        m_dispatchThread.tryPost(configuration_event { std::move(received.update), received.fresh });
+        m_dispatchThread.tryPost(configuration_event { std::move(received.update), received.isCaughtUp });
         m_dispatchThread.tryPost(verdicts_event { std::move(received.verdicts) });
     }
 
--- a/packages/entry/src/plumfold_http_target_adapter.cpp
+++ b/packages/entry/src/plumfold_http_target_adapter.cpp
@@ -170,8 +170,8 @@
 
 http_target_adapter::session http_target_adapter::connect(const target_process& target)
 {
-    session kept = popIdleConnection(target);
-    return kept ? std::move(kept) : openVerified(target);
+    session idle = popIdleConnection(target);
+    return idle ? std::move(idle) : openVerified(target);
 }
 
 void http_target_adapter::returnIdleConnection(const target_process& target, session idle)
@@ -248,10 +248,10 @@
         Poco::Net::HTTPResponse response;
         std::istream& in = used->receiveResponse(response);
         auto body = runtime::readBody(in, call.maxResponseBytes);
-        bool whole = body
+        bool isComplete = body
             && (!response.hasContentLength()
                 || response.getContentLength64() == static_cast<Poco::Int64>(body->size()));
-        if (!whole) {
+        if (!isComplete) {
             result.failure = body ? "the answer was cut" : "the answer was too large";
             return result;
         }
--- a/packages/entry/src/plumfold_peer_mesh.cpp
+++ b/packages/entry/src/plumfold_peer_mesh.cpp
@@ -14,7 +14,7 @@
 constexpr std::chrono::milliseconds gossipTimeout { 1000 };
 constexpr std::chrono::milliseconds permitTimeout { 300 };
 constexpr std::chrono::milliseconds suspectBroadcastTimeout { 50 };
-constexpr auto reconnectPause = 200 * kj::MILLISECONDS;
+constexpr auto reconnectDelay = 200 * kj::MILLISECONDS;
 constexpr core::milliseconds reportRefresh { 1000 };
 constexpr core::milliseconds reportMaxAge { 10'000 };
 
@@ -189,7 +189,7 @@
             fetchConfiguration(to);
     });
     m_tasks->add(ready.catch_([this, &to](kj::Exception&&) {
-        return m_rpc.timer().afterDelay(reconnectPause).then([&to] { to.connecting = false; });
+        return m_rpc.timer().afterDelay(reconnectDelay).then([&to] { to.connecting = false; });
     }));
 }
 
--- a/packages/entry/src/plumfold_request_flow.cpp
+++ b/packages/entry/src/plumfold_request_flow.cpp
@@ -67,11 +67,11 @@
 }
 
 absl::StatusOr<core::dispatch_plan> request_flow::dispatchRetry(
-    const core::request_spec& next, const core::attempt_report& report)
+    const core::request_spec& spec, const core::attempt_report& report)
 {
     auto ticket = std::make_shared<dispatch_ticket>();
-    context.dispatchThread.post(retry_event { next, report, ticket });
-    return awaitDispatch(next.number, *ticket);
+    context.dispatchThread.post(retry_event { spec, report, ticket });
+    return awaitDispatch(spec.number, *ticket);
 }
 
 void request_flow::writeSpan(
--- a/packages/entry/src/plumfold_request_flow.hpp
+++ b/packages/entry/src/plumfold_request_flow.hpp
@@ -31,10 +31,10 @@
     absl::StatusOr<core::dispatch_plan> dispatch(const core::request_spec& spec);
 
     /// Reports a failed attempt and waits until the request is dispatched for a retry or rejected.
-    /// @param next the remaining request, with the same number.
+    /// @param spec the remaining request, with the same number.
     /// @return as dispatch().
     absl::StatusOr<core::dispatch_plan> dispatchRetry(
-        const core::request_spec& next, const core::attempt_report& report);
+        const core::request_spec& spec, const core::attempt_report& report);
 
     /// Writes a child span of the request's span, from the given time until now.
     void writeSpan(
--- a/packages/entry/src/plumfold_service_flow.cpp
+++ b/packages/entry/src/plumfold_service_flow.cpp
@@ -12,7 +12,7 @@
 
 using core::attempt_outcome;
 
-constexpr std::size_t maxAnswerBytes = 1 << 20;
+constexpr std::size_t maxResponseBytes = 1 << 20;
 constexpr std::size_t maxStoredBytes = 64 << 10;
 constexpr std::uint32_t serviceCallCostTokens = 64; // for fair queueing
 
@@ -108,7 +108,7 @@
     call.traceparent = m_flow.trace.child().toHeader();
     auto remaining = std::chrono::duration_cast<core::milliseconds>(m_flow.deadline - runtime::now());
     call.timeout = std::clamp(remaining, core::milliseconds(1), core::milliseconds(m_service.timeoutMs));
-    call.maxResponseBytes = maxAnswerBytes;
+    call.maxResponseBytes = maxResponseBytes;
     return call;
 }
 
--- a/packages/forwarding/src/plumfold_deployment_follower.cpp
+++ b/packages/forwarding/src/plumfold_deployment_follower.cpp
@@ -40,7 +40,7 @@
     m_failures = static_cast<unsigned>(runtime::randomNumber() % m_seeds.size());
     m_rpc.run([this] {
         m_tasks = kj::heap<wire::task_group>();
-        m_tasks->add(loop());
+        m_tasks->add(followLoop());
     });
 }
 
@@ -62,7 +62,7 @@
     });
 }
 
-kj::Promise<void> deployment_follower::loop()
+kj::Promise<void> deployment_follower::followLoop()
 {
     return connect()
         .then([this] { return followOnce(); })
@@ -70,7 +70,7 @@
             onFailure(exception);
             return m_rpc.timer().afterDelay(reconnectDelay);
         })
-        .then([this] { return loop(); });
+        .then([this] { return followLoop(); });
 }
 
 std::string deployment_follower::nextAddress()
--- a/packages/forwarding/src/plumfold_deployment_follower.hpp
+++ b/packages/forwarding/src/plumfold_deployment_follower.hpp
@@ -44,7 +44,7 @@
     void setSeeds(std::vector<std::string> addresses);
 
 private:
-    kj::Promise<void> loop();
+    kj::Promise<void> followLoop();
     kj::Promise<void> connect();
     kj::Promise<void> followOnce();
     void applyFollowResponse(capnp::Response<wire::EntrySession::FollowResults> response);
--- a/packages/forwarding/src/plumfold_forwarding_role.cpp
+++ b/packages/forwarding/src/plumfold_forwarding_role.cpp
@@ -27,7 +27,7 @@
 /// them. The rest covers the time that a request waits on the target before it starts.
 constexpr std::uint64_t staleWeightsPercent = 60;
 
-core::target_selector_options boardOptions(const runtime::settings& settings)
+core::target_selector_options targetSelectorOptions(const runtime::settings& settings)
 {
     core::target_selector_options options;
     options.failureDomain = settings.process.failureDomain;
@@ -49,8 +49,9 @@
 public:
     impl(const runtime::settings& settings, wire::rpc_thread& rpc)
         : m_settings(settings)
-        , m_state { m_io, m_settings, m_metrics, nullptr, 0, core::target_selector(boardOptions(m_settings)),
-            retryBudget(*m_settings.forwarding), target_connection_pool(m_io) }
+        , m_state { m_io, m_settings, m_metrics, nullptr, 0,
+            core::target_selector(targetSelectorOptions(m_settings)), retryBudget(*m_settings.forwarding),
+            target_connection_pool(m_io) }
         , m_acceptor(m_io, endpointOf(m_settings.forwarding->callerAddress))
         , m_status(*m_settings.forwarding, m_metrics)
         , m_follower(rpc, m_settings, [this](control_update update) {
@@ -107,9 +108,9 @@
     void applyUpdate(const control_update& update)
     {
         auto now = runtime::now();
-        m_state.board.applyAnnouncements(update.targets, update.isSnapshot, now);
-        m_state.board.applyLoads(update.loads, now);
-        m_state.board.setEntryCount(update.entries);
+        m_state.targetSelector.applyAnnouncements(update.targets, update.isSnapshot, now);
+        m_state.targetSelector.applyLoads(update.loads, now);
+        m_state.targetSelector.setEntryCount(update.entries);
         m_state.retryBudget.setEntryCount(update.entries);
         for (const auto& holder : update.parts)
             m_state.parts.apply(holder, now);
@@ -117,16 +118,16 @@
         m_state.targetClockReadAt = now;
         if (update.deployment)
             applyDeployment(*update.deployment, now);
-        m_metrics.set("plumfold_known_targets", static_cast<double>(m_state.board.size()));
+        m_metrics.set("plumfold_known_targets", static_cast<double>(m_state.targetSelector.size()));
     }
 
     void applyDeployment(const core::deployment_state& next, core::instant now)
     {
-        m_state.board.setOutOfService(next.outOfService);
-        m_state.board.setWeights(next.weights, now);
+        m_state.targetSelector.setOutOfService(next.outOfService);
+        m_state.targetSelector.setWeights(next.weights, now);
         m_state.deploymentRevision = next.revision;
-        auto known = m_state.deployment ? m_state.deployment->version() : 0;
-        if (next.document.version > known) {
+        auto previousVersion = m_state.deployment ? m_state.deployment->version() : 0;
+        if (next.document.version > previousVersion) {
             auto decoded = platform::decodeDeployment(next.document.text);
             if (!decoded.ok()) {
                 runtime::log_event("deployment_unreadable", runtime::log_level::error)
@@ -135,13 +136,13 @@
                 return;
             }
             m_state.deployment = std::make_shared<const core::deployment>(std::move(*decoded));
-            m_state.board.setServices(m_state.deployment->services());
+            m_state.targetSelector.setServices(m_state.deployment->services());
             m_state.partPlanner.setStores(m_state.deployment->services());
         }
         runtime::log_event("deployment_in_force")
             .with("revision", next.revision)
             .with("version", next.document.version)
-            .with("before", known)
+            .with("before", previousVersion)
             .with("out_of_service", next.outOfService.size());
         m_metrics.set("plumfold_deployment_version", static_cast<double>(next.document.version));
         m_status.setReady(m_state.deployment != nullptr && !m_state.stopping);
--- a/packages/forwarding/src/plumfold_forwarding_state.hpp
+++ b/packages/forwarding/src/plumfold_forwarding_state.hpp
@@ -24,7 +24,7 @@
     runtime::metrics& metrics;
     std::shared_ptr<const core::deployment> deployment; ///< Null until the first one is received.
     std::uint64_t deploymentRevision = 0;
-    core::target_selector board;
+    core::target_selector targetSelector;
     core::windowed_retry_budget retryBudget;
     target_connection_pool connections;
     core::admission admission {};
--- a/packages/forwarding/src/plumfold_request_attempt.cpp
+++ b/packages/forwarding/src/plumfold_request_attempt.cpp
@@ -63,14 +63,14 @@
         return;
     head.parts = m_state.partPlanner.plan(
         m_head.parts, head.cacheNamespace, { placement.address, placement.failureDomain, 0 }, m_state.parts,
-        [this, now](const std::string& address) { return m_state.board.findSource(address, now); },
-        m_state.board.latencyModel().prefillTokensPerMs, now);
-    auto named = [](const auto& addresses) {
+        [this, now](const std::string& address) { return m_state.targetSelector.findSource(address, now); },
+        m_state.targetSelector.latencyModel().prefillTokensPerMs, now);
+    auto countNonEmpty = [](const auto& addresses) {
         return static_cast<std::size_t>(std::count_if(
             addresses.begin(), addresses.end(), [](const auto& each) { return !each.empty(); }));
     };
-    m_fetches = named(head.parts.fetchFrom);
-    m_saves = named(head.parts.saveTo);
+    m_fetches = countNonEmpty(head.parts.fetchFrom);
+    m_saves = countNonEmpty(head.parts.saveTo);
     for (std::size_t index = 0; index < head.parts.fetchFrom.size(); ++index) {
         const auto& source = head.parts.fetchFrom[index];
         if (source.empty())
@@ -114,13 +114,13 @@
     m_targetUnresponsive = false;
     armWatchdog();
     ++m_attemptCount;
-    bool ranBefore = m_mayHaveExecuted;
+    bool mayHaveExecutedBefore = m_mayHaveExecuted;
     m_mayHaveExecuted = true;
     if (!co_await send(*m_connection, placement))
         co_return classifyFailure(asio::error::broken_pipe);
     auto end = co_await receive(*m_connection);
     if (end == core::attempt_result::refused)
-        m_mayHaveExecuted = ranBefore;
+        m_mayHaveExecuted = mayHaveExecutedBefore;
     co_return end;
 }
 
@@ -224,7 +224,7 @@
     if (head.isNotExecuted) {
         m_reason = "target_refused_" + std::to_string(response.status);
         if (head.isMisdirected)
-            m_state.board.markWeightsUnconfirmed(m_lastTarget, runtime::now());
+            m_state.targetSelector.markWeightsUnconfirmed(m_lastTarget, runtime::now());
         co_return core::attempt_result::refused;
     }
     bool success = response.status / 100 == 2;
@@ -330,7 +330,7 @@
     auto now = runtime::now();
     bool quiet = now - m_lastByteAt >= unresponsiveTargetTimeout;
     if (quiet && m_attemptedTargets.size() < m_route->maxAttempts
-        && m_state.board.isSilent(m_lastTarget, now)) {
+        && m_state.targetSelector.isSilent(m_lastTarget, now)) {
         m_targetUnresponsive = true;
         m_connection->stream.close();
         return;
--- a/packages/forwarding/src/plumfold_request_forwarder.cpp
+++ b/packages/forwarding/src/plumfold_request_forwarder.cpp
@@ -138,10 +138,10 @@
     out.promptTokens = m_head.promptTokens;
     out.sharedTokens = std::min(core::sharedTokensOf(m_head.parts), out.promptTokens);
     if (arePartsCurrent()) {
-        auto cacheNamespace = cacheNamespaceOf(m_state.board.currentWeightVersion(m_head.model));
+        auto cacheNamespace = cacheNamespaceOf(m_state.targetSelector.currentWeightVersion(m_head.model));
         auto now = runtime::now();
         out.storedIn = m_state.partPlanner.storedIn(m_head.parts, cacheNamespace, m_state.parts,
-            m_state.board.latencyModel().prefillTokensPerMs, now);
+            m_state.targetSelector.latencyModel().prefillTokensPerMs, now);
         if (m_head.parts.size() > 1)
             out.holders = m_state.parts.holdersOf(
                 core::hashOf({ cacheNamespace, m_head.parts[m_head.parts.size() - 2].id }), now);
@@ -164,35 +164,36 @@
     auto waitUntil = m_receivedAt + m_route->latencyTarget / placementWaitDivisor;
     asio::steady_timer timer(m_state.io);
     while (true) {
-        auto wanted = placementRequest();
-        auto answer = m_state.board.choose(wanted, runtime::now());
-        if (!answer.chosen) {
+        auto request = placementRequest();
+        auto selection = m_state.targetSelector.choose(request, runtime::now());
+        if (!selection.chosen) {
             if (runtime::now() < waitUntil && m_attemptCount == 0 && !m_callerDisconnected) {
                 error_code ignored;
                 timer.expires_after(placementPollInterval);
                 co_await timer.async_wait(into(ignored));
                 continue;
             }
-            rejectWithoutTarget(answer);
+            rejectWithoutTarget(selection);
             co_return;
         }
-        if (m_attemptCount == 0 && rejectOverload(*answer.chosen)) {
-            m_state.board.onAttemptEnded(answer.chosen->target, core::attempt_result::abandoned,
-                core::target_selector::expectedTokens(wanted), runtime::now());
+        if (m_attemptCount == 0 && rejectOverload(*selection.chosen)) {
+            m_state.targetSelector.onAttemptEnded(selection.chosen->target, core::attempt_result::abandoned,
+                core::target_selector::expectedTokens(request), runtime::now());
             co_return;
         }
-        m_lastTarget = answer.chosen->target;
-        m_lastWeights = answer.chosen->weights;
-        auto end = co_await attempt(*answer.chosen);
+        m_lastTarget = selection.chosen->target;
+        m_lastWeights = selection.chosen->weights;
+        auto attemptResult = co_await attempt(*selection.chosen);
         m_connection.reset();
         m_watchdog.cancel();
-        m_state.board.onAttemptEnded(
-            answer.chosen->target, end, core::target_selector::expectedTokens(wanted), runtime::now());
-        bool final = end == core::attempt_result::answered || end == core::attempt_result::abandoned;
+        m_state.targetSelector.onAttemptEnded(selection.chosen->target, attemptResult,
+            core::target_selector::expectedTokens(request), runtime::now());
+        bool final = attemptResult == core::attempt_result::answered
+            || attemptResult == core::attempt_result::abandoned;
         if (final)
             break;
-        if (end == core::attempt_result::not_reached)
-            m_unreachableTargets.insert(answer.chosen->target);
+        if (attemptResult == core::attempt_result::not_reached)
+            m_unreachableTargets.insert(selection.chosen->target);
         bool isWithinBudget = m_attemptCount == 0 || m_state.retryBudget.tryTake(m_service, runtime::now());
         if (!mayRetry() || !isWithinBudget || m_unreachableTargets.size() > 3)
             break;
@@ -217,14 +218,14 @@
     return true;
 }
 
-void request_forwarder::rejectWithoutTarget(const core::placement_result& answer)
+void request_forwarder::rejectWithoutTarget(const core::placement_result& selection)
 {
     static constexpr const char* reasons[] = { "no_target", "targets_cold", "targets_full" };
-    m_reason = reasons[static_cast<int>(answer.reason)];
+    m_reason = reasons[static_cast<int>(selection.reason)];
     if (m_mayHaveExecuted || m_streamStarted)
         finishUnanswered();
     else
-        reject(http::status::service_unavailable, m_reason, answer.retryAfter);
+        reject(http::status::service_unavailable, m_reason, selection.retryAfter);
 }
 
 /// Generates the final response to a request that no target responded to.
--- a/packages/forwarding/src/plumfold_request_forwarder.hpp
+++ b/packages/forwarding/src/plumfold_request_forwarder.hpp
@@ -42,7 +42,7 @@
     bool mayRetry() const;
     bool rejectOverload(const core::placement& placement);
     std::uint32_t priority() const;
-    void rejectWithoutTarget(const core::placement_result& answer);
+    void rejectWithoutTarget(const core::placement_result& selection);
     void finishUnanswered();
     task<core::attempt_result> attempt(const core::placement& placement);
     task<std::unique_ptr<target_connection>> connectTo(const core::placement& placement);
--- a/tests/process/support/plumfold_test_system.cpp
+++ b/tests/process/support/plumfold_test_system.cpp
@@ -136,8 +136,8 @@
                 { { "name", "entry-" + std::to_string(other) }, { "address", address(20 + other, 8002) } });
     }
     json control = json::array();
-    for (int each = 1; each <= controlVms; ++each)
-        control.push_back(address(10 + each, 7000));
+    for (int vm = 1; vm <= controlVms; ++vm)
+        control.push_back(address(10 + vm, 7000));
     writeSettings(name, number, "entry",
         { { "callerAddress", address(host, 8000) }, { "targetAddress", address(host, 8001) },
             { "peerAddress", address(host, 8002) }, { "peers", peers }, { "control", control },
@@ -180,8 +180,8 @@
 std::string test_system::plumfold(const std::vector<std::string>& arguments, int* code)
 {
     std::string control;
-    for (int each = 1; each <= controlVms; ++each)
-        control += (each > 1 ? "," : "") + address(10 + each, 7000);
+    for (int vm = 1; vm <= controlVms; ++vm)
+        control += (vm > 1 ? "," : "") + address(10 + vm, 7000);
     std::vector<std::string> command { PLUMFOLD_CLI, "--control", control, "--token", operatorToken };
     command.insert(command.end(), arguments.begin(), arguments.end());
     static int calls = 0;
