--- a/packages/control/include/plumfold/control/plumfold_control_node.hpp
+++ b/packages/control/include/plumfold/control/plumfold_control_node.hpp
@@ -135,7 +135,7 @@
     void handle(watch_event& event);
     void handle(status_event& event);
     void handle(bootstrap_event& event);
-    // Returns false if the log cannot be written.
+    /// @return false if the log cannot be written.
     bool processOutput();
     void apply(const core::log_entry& entry);
     void completeWatches();
--- a/packages/control/src/plumfold_deployment_feed.hpp
+++ b/packages/control/src/plumfold_deployment_feed.hpp
@@ -36,7 +36,7 @@
 
     /// Applies an announcement that a target sent to this control VM.
     void onAnnouncement(const core::target_announcement& target);
-    /// Marks a target as silent because it does not answer this control VM.
+    /// Marks a target as silent because it does not respond to this control VM.
     void onTargetUnresponsive(const std::string& target);
     /// Marks a target as leaving.
     void onTargetLeft(const std::string& target);
@@ -56,7 +56,7 @@
     /// @return whether they were applied; false if the generation is no longer the holder's current one.
     bool applyPartChanges(const std::string& holder, std::uint64_t generation,
         const std::vector<core::part_change>& changes, std::uint64_t clock);
-    /// Removes a holder that does not answer this control VM, if the generation is still its current one.
+    /// Removes a holder that does not respond to this control VM, if the generation is still its current one.
     void removeParts(const std::string& holder, std::uint64_t generation);
     /// Updates the loads of targets.
     /// @param isDirect whether this control VM polled them itself; otherwise another one shared them.
--- a/packages/control/src/plumfold_load_poller.hpp
+++ b/packages/control/src/plumfold_load_poller.hpp
@@ -12,7 +12,7 @@
 namespace plumfold::control {
 
 /// Thread that polls the load reports of the model engines assigned to this control VM, so that an engine is
-/// not polled by every entry. Marks engines that do not answer as silent.
+/// not polled by every entry. Marks engines that do not respond as silent.
 class load_poller {
 public:
     load_poller(wire::rpc_thread& rpc, deployment_feed& feed);
--- a/packages/control/src/plumfold_peer_links.cpp
+++ b/packages/control/src/plumfold_peer_links.cpp
@@ -9,7 +9,7 @@
 
 /// Interval at which a peer is sent all announcements, so that targets do not time out there.
 constexpr core::milliseconds shareAllInterval { 1500 };
-/// Interval at which a peer is sent the KV parts of the stores and engines that this control VM reads.
+/// Interval at which a peer is sent the KV parts of the stores and engines that this control VM polls.
 constexpr core::milliseconds sharePartsInterval { 150 };
 constexpr unsigned maxInFlight = 64;
 constexpr std::chrono::milliseconds connectTimeout { 500 };
--- a/packages/control/src/plumfold_weight_rollout_thread.cpp
+++ b/packages/control/src/plumfold_weight_rollout_thread.cpp
@@ -13,8 +13,8 @@
 constexpr core::milliseconds stepInterval { 100 };
 constexpr core::milliseconds callTimeout { 400 };
 constexpr core::milliseconds checkInterval { 300 };
-/// After this time an order counts as lost if the target sends no reports; an order without a response may
-/// still be executed some seconds later.
+/// An order counts as lost after this time if the target's report cannot be read. An order without a response
+/// may still be executed some seconds later.
 constexpr core::milliseconds orderOutcomeTimeout { 6'000 };
 constexpr core::milliseconds retryDelay { 500 };
 constexpr auto leaseCallTimeout = 1000 * kj::MILLISECONDS;
--- a/packages/entry/src/plumfold_http_target_adapter.cpp
+++ b/packages/entry/src/plumfold_http_target_adapter.cpp
@@ -53,7 +53,7 @@
 }
 
 /// Sends a request with a body.
-/// @return whether all of it was written. If not, the target cannot have received a whole request.
+/// @return whether all of it was written. If not, the target cannot have received the complete request.
 bool send(Poco::Net::HTTPClientSession& session, Poco::Net::HTTPRequest& request, const std::string& body)
 {
     request.setContentLength64(static_cast<Poco::Int64>(body.size()));
--- a/packages/entry/src/plumfold_usage_reporter.hpp
+++ b/packages/entry/src/plumfold_usage_reporter.hpp
@@ -10,9 +10,9 @@
 
 namespace plumfold::entry {
 
-/// Collects the usage of finished requests and sends it to control in numbered batches. Each request is in
-/// exactly one batch and control counts a batch once, so nothing is counted twice. If the process crashes,
-/// unsent usage is lost: at most that of one interval while control is available.
+/// Collects the usage of finished requests and sends it to the control VMs in numbered batches. Each request
+/// is in exactly one batch and they count a batch once, so nothing is counted twice. If the process crashes,
+/// unsent usage is lost: at most that of one interval while a quorum is available.
 class usage_reporter {
 public:
     /// @param source name of this entry.
@@ -27,7 +27,7 @@
 private:
     void run();
     /// Sends the unconfirmed batch, or else a new one.
-    /// @return whether control has applied a batch.
+    /// @return whether the control VMs have applied a batch.
     bool sendBatch();
 
     control_client& m_control;
@@ -37,7 +37,7 @@
     std::condition_variable m_wake;
     bool m_stopping = false;
     std::map<std::pair<std::string, std::string>, core::usage_row> m_pendingRows; // by customer and model
-    core::usage_command m_batch; // sent until control confirms it
+    core::usage_command m_batch; // sent until the control VMs confirm it
     std::thread m_thread;
 };
 
--- a/packages/forwarding/src/plumfold_deployment_follower.cpp
+++ b/packages/forwarding/src/plumfold_deployment_follower.cpp
@@ -16,7 +16,7 @@
 /// two seconds, even when two control VMs have just become unresponsive.
 constexpr std::chrono::milliseconds pollTimeout { 900 };
 constexpr std::chrono::milliseconds firstPollTimeout { 400 }; // for the first poll of a connection
-/// The first response of all requires a round trip to a quorum.
+/// Until an update is confirmed, a response requires a round trip to a quorum.
 constexpr std::chrono::milliseconds quorumConfirmTimeout { 2'000 };
 constexpr auto reconnectDelay = 100 * kj::MILLISECONDS;
 
--- a/packages/forwarding/src/plumfold_request_attempt.cpp
+++ b/packages/forwarding/src/plumfold_request_attempt.cpp
@@ -12,7 +12,8 @@
 
 constexpr core::milliseconds connectTimeout { 300 };
 constexpr core::milliseconds watchdogInterval { 200 };
-/// An attempt on a target that the board considers silent is abandoned after this time without a byte.
+/// An attempt on a target that the target selector considers silent is abandoned after this time without a
+/// byte.
 constexpr core::milliseconds unresponsiveTargetTimeout { 500 };
 /// An unfinished KV fetch is discarded after this time, and the engine prefills the prompt.
 constexpr core::milliseconds fetchTimeout { 2'500 };
--- a/packages/forwarding/src/plumfold_request_forwarder.hpp
+++ b/packages/forwarding/src/plumfold_request_forwarder.hpp
@@ -105,7 +105,7 @@
     std::size_t m_fetches = 0; // KV parts to fetch in the current attempt
     std::uint64_t m_fetchTokens = 0; // tokens in those parts
     std::size_t m_saves = 0; // KV parts to save in the current attempt
-    bool m_isTargetHolder = false; // is believed to hold the shared part of the conversation
+    bool m_isTargetHolder = false; // is listed as a holder of the shared part of the conversation
     double m_waitMs = 0; // predicted for the current attempt
     double m_predictedMs = 0; // predicted time to the first event of the current attempt
     core::instant m_firstByteAt {};
