--- a/benchmarks/plumfold_bench_policy.cpp
+++ b/benchmarks/plumfold_bench_policy.cpp
@@ -372,7 +372,7 @@
                 m_cached[request] = blocks == 0 ? 0 : estimatePromptTokens(blocks * promptBlockBytes);
                 start(request, target);
             }
-            if (const auto* refused = std::get_if<refuse_action>(&action))
+            if (const auto* refused = std::get_if<reject_action>(&action))
                 refuse(refused->request - 1);
         }
     }
