--- a/tests/core/plumfold_part_directory_tests.cpp
+++ b/tests/core/plumfold_part_directory_tests.cpp
@@ -75,7 +75,7 @@
     CHECK(entry.find(store, start)->tokens.empty());
 }
 
-TEST_CASE("Shared parts are saved once and then fetched; the request's own part is neither", "[part_planner]")
+TEST_CASE("Shared parts are saved once and then fetched, the request's own part is neither", "[part_planner]")
 {
     part_directory directory;
     part_planner planner;
